--- a/fleetlab/experiment.py
+++ b/fleetlab/experiment.py
@@ -173,9 +173,18 @@
 )
 
 Kind = Literal[
-    "zone_cut", "regions_apart", "rack_lost", "servers_hung", "servers_crashed", "servers_replaced",
-    "gateways_restarted", "discovery_down", "counter_mute", "counter_emptied", "surge",
-]  # fmt: skip
+    "zone_cut",
+    "regions_apart",
+    "rack_lost",
+    "servers_hung",
+    "servers_crashed",
+    "servers_replaced",
+    "gateways_restarted",
+    "discovery_down",
+    "counter_mute",
+    "counter_emptied",
+    "surge",
+]
 
 
 class Fault(Part, frozen=True):
@@ -343,13 +352,22 @@
         (load.shift_s[0] <= 0, "load.shift_s", "begins at nothing"),
         (load.heavy + load.spiky > 1.0, "load.spiky", "more than all tenants, with the heavy ones"),
         (load.spike_s[1] >= load.spike_every_s[0], "load.spike_s", "longer than the time between two spikes"),
-        (excess(load) > 0.95 * load.use, "load.use",
-         f"heavy and spiky tenants alone ask for {excess(load):.2f} of the quotas"),
-        (load.requests_per_s * load.part * max(1.0, made.seconds) > MOST_REQUESTS, "load.requests_per_s",
-         f"impossible size: more than {MOST_REQUESTS:.0f} requests"),
-        (total > MOST_BYTES, most,
-         f"impossible size: about {total / 1e9:.0f} GB of memory, of {MOST_BYTES / 1e9:.0f}"),
-    )  # fmt: skip
+        (
+            excess(load) > 0.95 * load.use,
+            "load.use",
+            f"heavy and spiky tenants alone ask for {excess(load):.2f} of the quotas",
+        ),
+        (
+            load.requests_per_s * load.part * max(1.0, made.seconds) > MOST_REQUESTS,
+            "load.requests_per_s",
+            f"impossible size: more than {MOST_REQUESTS:.0f} requests",
+        ),
+        (
+            total > MOST_BYTES,
+            most,
+            f"impossible size: about {total / 1e9:.0f} GB of memory, of {MOST_BYTES / 1e9:.0f}",
+        ),
+    )
     for wrong, key, what in checks:
         if wrong:
             return key, what
@@ -376,8 +394,14 @@
 
 
 LASTING = (
-    "zone_cut", "regions_apart", "rack_lost", "servers_hung", "discovery_down", "counter_mute", "surge"
-)  # fmt: skip
+    "zone_cut",
+    "regions_apart",
+    "rack_lost",
+    "servers_hung",
+    "discovery_down",
+    "counter_mute",
+    "surge",
+)
 
 
 def zones(made: Experiment) -> list[str]:
--- a/fleetlab/lab.py
+++ b/fleetlab/lab.py
@@ -81,9 +81,14 @@
     log = structlog.get_logger()
     fleet = experiment.fleet
     log.info(
-        "build", experiment=experiment.name, seed=seed, gateways=fleet.gateways, servers=fleet.servers,
-        visible=experiment.visible, pools=experiment.pools,
-    )  # fmt: skip
+        "build",
+        experiment=experiment.name,
+        seed=seed,
+        gateways=fleet.gateways,
+        servers=fleet.servers,
+        visible=experiment.visible,
+        pools=experiment.pools,
+    )
     world = World(experiment, seed)
     log.info("play", seconds=experiment.seconds, memory_mb=round(world.memory["gateways"] / 1e6))
     with bar(experiment.name) as progress:
--- a/fleetlab/load.py
+++ b/fleetlab/load.py
@@ -153,9 +153,15 @@
     command: Any = (verb, client.customer, request_id, fields.encode())
     gateway = (client.first + rng.randrange(client.spread)) % site.balancers
     return Request(
-        request_id, client, float(units), gateway, hiredis.pack_command(command),
-        kind.hard_limit_ms / 1000.0, kind.repeat == "non_idempotent", due,
-    )  # fmt: skip
+        request_id,
+        client,
+        float(units),
+        gateway,
+        hiredis.pack_command(command),
+        kind.hard_limit_ms / 1000.0,
+        kind.repeat == "non_idempotent",
+        due,
+    )
 
 
 class Caller(asyncio.Protocol):
--- a/fleetlab/processes.py
+++ b/fleetlab/processes.py
@@ -72,9 +72,13 @@
         environ = {key: value for key, value in os.environ.items() if not key.startswith("EDGE_")}
         with open(self._log, "wb") as output:
             self._process = subprocess.Popen(
-                [sys.executable, "-m", "glenchute"], env={**environ, "EDGE_CONFIG": str(self._config)},
-                stdin=subprocess.DEVNULL, stdout=output, stderr=output, preexec_fn=_end_with_parent,
-            )  # fmt: skip
+                [sys.executable, "-m", "glenchute"],
+                env={**environ, "EDGE_CONFIG": str(self._config)},
+                stdin=subprocess.DEVNULL,
+                stdout=output,
+                stderr=output,
+                preexec_fn=_end_with_parent,
+            )
         log.debug("gateway started", gateway=self.name, pid=self._process.pid, port=self.port)
 
     async def ready(self) -> None:
--- a/fleetlab/rig.py
+++ b/fleetlab/rig.py
@@ -22,7 +22,7 @@
     ServerModel,
     ServerRow,
     ServerStandIn,
-)  # fmt: skip
+)
 
 MOST_GATEWAYS = 32
 MOST_SERVERS = 500
--- a/fleetlab/sim/books.py
+++ b/fleetlab/sim/books.py
@@ -11,9 +11,13 @@
 
 LONGEST_US = 60_000_000
 RULES = (
-    "late_drains_told", "late_drains_deemed", "ceiling_overruns", "sent_after_client_left",
-    "sent_without_request", "cut_by_drain",
-)  # fmt: skip
+    "late_drains_told",
+    "late_drains_deemed",
+    "ceiling_overruns",
+    "sent_after_client_left",
+    "sent_without_request",
+    "cut_by_drain",
+)
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
@@ -60,10 +64,14 @@
         """The excess over budget and chance; the rule is broken where two thirds were told (WIRE rule 4)."""
         excess = self.calls - self.budget - 2.0 * self.budget**0.5 - 2.0
         return {
-            "at_ms": round(self.at_ms, 1), "server": self.server, "calls": self.calls,
-            "budget": round(self.budget, 2), "excess": round(excess, 2), "told": self.told,
+            "at_ms": round(self.at_ms, 1),
+            "server": self.server,
+            "calls": self.calls,
+            "budget": round(self.budget, 2),
+            "excess": round(excess, 2),
+            "told": self.told,
             "rule_broken": 3 * self.told >= 2 * self.calls,
-        }  # fmt: skip
+        }
 
 
 def tallies() -> defaultdict[str, Tally[str]]:
--- a/fleetlab/sim/clients.py
+++ b/fleetlab/sim/clients.py
@@ -314,10 +314,18 @@
         ceiling = plan.ceiling * burst
         made.append(
             Plan(
-                plan.name, plan.price, rate, burst, 0, plan.ceiling * rate, ceiling,
-                max(0.1 * ceiling, float(load.most_units)) if plan.ceiling else 0.0, 0.0, plan.beyond_cost,
+                plan.name,
+                plan.price,
+                rate,
+                burst,
+                0,
+                plan.ceiling * rate,
+                ceiling,
+                max(0.1 * ceiling, float(load.most_units)) if plan.ceiling else 0.0,
+                0.0,
+                plan.beyond_cost,
             )
-        )  # fmt: skip
+        )
     return tuple(made), counts
 
 
@@ -345,11 +353,19 @@
                 spike = quota * habits.uniform(*load.spike_x)
             out.append(
                 Tenant(
-                    key=f"{rng.randrange(1 << 33):016x}", plan=plan, first=rng.randrange(1 << 30),
-                    spread=rng.randint(*load.spread), mix=rng.randrange(1 << 20),
-                    shift_ms=1000.0 * rng.uniform(*load.shift_s), weight=rate, store=plan.burst,
-                    ceiling=plan.ceiling_burst, fair=plan.burst, at=0.0, spike=spike,
+                    key=f"{rng.randrange(1 << 33):016x}",
+                    plan=plan,
+                    first=rng.randrange(1 << 30),
+                    spread=rng.randint(*load.spread),
+                    mix=rng.randrange(1 << 20),
+                    shift_ms=1000.0 * rng.uniform(*load.shift_s),
+                    weight=rate,
+                    store=plan.burst,
+                    ceiling=plan.ceiling_burst,
+                    fair=plan.burst,
+                    at=0.0,
+                    spike=spike,
                 )
-            )  # fmt: skip
+            )
     rng.shuffle(out)
     return out
--- a/fleetlab/sim/discovery.py
+++ b/fleetlab/sim/discovery.py
@@ -36,9 +36,15 @@
     """Answers calls in turn; each costs work, and so does each line of its answer."""
 
     def __init__(
-        self, kernel: Kernel, books: Books, figures: Figures, network: Network, place: Place, pools: int,
+        self,
+        kernel: Kernel,
+        books: Books,
+        figures: Figures,
+        network: Network,
+        place: Place,
+        pools: int,
         seed: int,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.kernel = kernel
         self.network = network
         self.place = place
@@ -182,9 +188,16 @@
     """The watch of one gateway."""
 
     def __init__(
-        self, kernel: Kernel, service: Service, place: Place, pool: int, gateways: int, seed: int,
-        index: int, told: Told,
-    ) -> None:  # fmt: skip
+        self,
+        kernel: Kernel,
+        service: Service,
+        place: Place,
+        pool: int,
+        gateways: int,
+        seed: int,
+        index: int,
+        told: Told,
+    ) -> None:
         self.place = place
         self.kernel = kernel
         self.service = service
--- a/fleetlab/sim/forms.py
+++ b/fleetlab/sim/forms.py
@@ -37,10 +37,15 @@
 def row(entry: ServerEntry) -> dict[str, Any]:
     """One server as discovery writes it."""
     return {
-        "id": entry.server, "addr": "10.1.100.180:6379", "zone": entry.zone, "kind": "std-2c",
-        "cell": entry.cell, "state": STATES[entry.state], "weight": entry.size,
+        "id": entry.server,
+        "addr": "10.1.100.180:6379",
+        "zone": entry.zone,
+        "kind": "std-2c",
+        "cell": entry.cell,
+        "state": STATES[entry.state],
+        "weight": entry.size,
         "started_ms": int(entry.started_ms),
-    }  # fmt: skip
+    }
 
 
 def listing(entries: Iterable[ServerEntry], version: int, full: bool) -> bytes:
--- a/fleetlab/sim/world.py
+++ b/fleetlab/sim/world.py
@@ -187,11 +187,14 @@
             "discovery_busy": round(self.service.busy_ms / (span + TAIL_MS), 4),
         }
         out["world"] = {
-            "pools": len(self.pools), "servers_up": now, "events": self.kernel.done,
+            "pools": len(self.pools),
+            "servers_up": now,
+            "events": self.kernel.done,
             "tenants": sum(len(pool.tenants) for pool in self.pools),
-            "work_ms": round(self.pace, 3), "counter_calls_per_s": round(self.counter.calls_per_s, 1),
+            "work_ms": round(self.pace, 3),
+            "counter_calls_per_s": round(self.counter.calls_per_s, 1),
             "counter_line_ms": round(self.counter.line_ms, 1),
-        }  # fmt: skip
+        }
         return out
 
     def figures(self) -> dict[str, Any]:
--- a/fleetlab/site.py
+++ b/fleetlab/site.py
@@ -50,8 +50,15 @@
         "balancers": gateways,
         "client_habits": {"marks_retry": False},
         "domain": {"counter": True, "counter_timeout_ms": 80.0, "max_units": 8},
-        "limits": {"attempts_cap": 4, "retry_after": True, "max_retry_after_ms": 500.0, "max_open": 20000,
-                   "conn_idle_ms": 15000.0, "connect_timeout_ms": 250.0, "max_streams": 100},
+        "limits": {
+            "attempts_cap": 4,
+            "retry_after": True,
+            "max_retry_after_ms": 500.0,
+            "max_open": 20000,
+            "conn_idle_ms": 15000.0,
+            "connect_timeout_ms": 250.0,
+            "max_streams": 100,
+        },
         "me": number,
         "membership_mode": "automatic",
         "my_zone": "a",
@@ -66,17 +73,34 @@
             _class("order", "non_idempotent"),
         ],
         "reporting": {"fields": [], "how": "silent"},
-        "safety": {"answer_slack_ms": 8.0, "cold_from": 0.25, "drain_grace_ms": 250.0, "fall_ms": 3000.0,
-                   "overload_factor": 3.0, "warm_after_ms": 18000.0},
+        "safety": {
+            "answer_slack_ms": 8.0,
+            "cold_from": 0.25,
+            "drain_grace_ms": 250.0,
+            "fall_ms": 3000.0,
+            "overload_factor": 3.0,
+            "warm_after_ms": 18000.0,
+        },
         "weight_kind": "silent",
-    }  # fmt: skip
+    }
 
 
 def _plan(name: str, per_second: float, most_at_once: float, price: float) -> dict[str, Any]:
-    return {"name": name, "per_second": per_second, "most_at_once": most_at_once, "price": price,
-            "beyond_costs": 0.6}  # fmt: skip
+    return {
+        "name": name,
+        "per_second": per_second,
+        "most_at_once": most_at_once,
+        "price": price,
+        "beyond_costs": 0.6,
+    }
 
 
 def _class(name: str, repeat: str, **more: Any) -> dict[str, Any]:
-    return {"name": name, "repeat": repeat, "aim_ms": 500.0, "hard_limit_ms": 2000.0, "importance": 1.0,
-            **more}  # fmt: skip
+    return {
+        "name": name,
+        "repeat": repeat,
+        "aim_ms": 500.0,
+        "hard_limit_ms": 2000.0,
+        "importance": 1.0,
+        **more,
+    }
--- a/fleetlab/slopes.py
+++ b/fleetlab/slopes.py
@@ -77,10 +77,16 @@
     number=1234,
 )
 COUNTED = Settings(
-    zone=SETTINGS.zone, gateways=GATEWAYS, classes=SETTINGS.classes,
-    plans=(Plan("basico", rate=1.65, burst=16.0),), safety=SETTINGS.safety,
-    max_attempts=5, max_retry_after_ms=500.0, counter=True, counter_timeout_ms=80.0,
-)  # fmt: skip
+    zone=SETTINGS.zone,
+    gateways=GATEWAYS,
+    classes=SETTINGS.classes,
+    plans=(Plan("basico", rate=1.65, burst=16.0),),
+    safety=SETTINGS.safety,
+    max_attempts=5,
+    max_retry_after_ms=500.0,
+    counter=True,
+    counter_timeout_ms=80.0,
+)
 
 
 @dataclass(slots=True)
@@ -285,11 +291,15 @@
     await discovery.start()
     process = GatewayProcess("gateway", folder)
     try:
-        process.start({
-            "discovery": discovery.address, "seed": f"{7:016x}", "settings": site.settings(GATEWAYS),
-            "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 1024},
-            "known": json.loads(listing(entries(count), discovery.version, True)),
-        })  # fmt: skip
+        process.start(
+            {
+                "discovery": discovery.address,
+                "seed": f"{7:016x}",
+                "settings": site.settings(GATEWAYS),
+                "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 1024},
+                "known": json.loads(listing(entries(count), discovery.version, True)),
+            }
+        )
         await process.ready()
         spent = process.processor_s()
         await asyncio.sleep(SETTLE_S)
@@ -409,8 +419,11 @@
         resp.command(b"INCRTTL", b"%d" % (7919 << 40), b"%.3f" % 2.0, b"60000")
 
     out = []
-    for name, call in (("client's command read and passed on", client), ("server's answer read", server),
-                       ("counter's call written", count)):  # fmt: skip
+    for name, call in (
+        ("client's command read and passed on", client),
+        ("server's answer read", server),
+        ("counter's call written", count),
+    ):
         slope = Slope(name, "ms", "requests")
         slope.add(1, timed(call, repeats))
         out.append(slope)
@@ -450,8 +463,10 @@
     lines = []
     for slope in result["slopes"]:
         for point in slope["points"]:
-            spread = (f"{point[key]:,.4g}" if slope["unit"] in FRACTIONS else f"{point[key]:,.0f}"
-                      for key in ("min", "median", "max"))  # fmt: skip
+            spread = (
+                f"{point[key]:,.4g}" if slope["unit"] in FRACTIONS else f"{point[key]:,.0f}"
+                for key in ("min", "median", "max")
+            )
             lines.append((slope["name"], f"{point['count']:,} {slope['against']}", *spread, slope["unit"]))
     console.print(results.table("Points", ["figure", "against", "min", "median", "max", "unit"], lines))
     fits = [
--- a/fleetlab/standins/__init__.py
+++ b/fleetlab/standins/__init__.py
@@ -11,7 +11,21 @@
 from .servers import Attempt, Ledger, Outcome, ServerModel, ServerStandIn, made_for
 
 __all__ = [
-    "LOOPBACK", "Attempt", "CounterModel", "CounterStandIn", "DiscoveryStandIn", "Endpoint", "Fault",
-    "FaultError", "FaultKind", "Faults", "Ledger", "Outcome", "ServerList", "ServerModel", "ServerRow",
-    "ServerStandIn", "made_for",
-]  # fmt: skip
+    "LOOPBACK",
+    "Attempt",
+    "CounterModel",
+    "CounterStandIn",
+    "DiscoveryStandIn",
+    "Endpoint",
+    "Fault",
+    "FaultError",
+    "FaultKind",
+    "Faults",
+    "Ledger",
+    "Outcome",
+    "ServerList",
+    "ServerModel",
+    "ServerRow",
+    "ServerStandIn",
+    "made_for",
+]
--- a/fleetlab/standins/servers.py
+++ b/fleetlab/standins/servers.py
@@ -25,9 +25,14 @@
 SYNTAX = b"-SYNTAX\r\n"
 NO_PERMISSION = b"-NOPERM\r\n"
 SUPPORTED = (
-    FaultKind.RESET, FaultKind.SILENCE, FaultKind.LATE, FaultKind.PARTIAL, FaultKind.SPOILT, FaultKind.ERROR,
+    FaultKind.RESET,
+    FaultKind.SILENCE,
+    FaultKind.LATE,
+    FaultKind.PARTIAL,
+    FaultKind.SPOILT,
+    FaultKind.ERROR,
     FaultKind.UNAVAILABLE,
-)  # fmt: skip
+)
 
 
 class Outcome(Enum):
--- a/glenchute/__main__.py
+++ b/glenchute/__main__.py
@@ -236,8 +236,13 @@
             log.error("the configuration in force stays: %s", error)
             return
         log.info("the configuration was read again")
-        if replace(config, discovery=self.config.discovery, counter=self.config.counter, known=None,
-                   seed=self.config.seed) != replace(self.config, known=None):  # fmt: skip
+        if replace(
+            config,
+            discovery=self.config.discovery,
+            counter=self.config.counter,
+            known=None,
+            seed=self.config.seed,
+        ) != replace(self.config, known=None):
             log.warning("what changed besides the addresses of discovery and counter waits for a restart")
         self.discovery.move(config.discovery)
         if self.counter is not None and config.counter is not None:
--- a/glenchute/servers.py
+++ b/glenchute/servers.py
@@ -215,7 +215,7 @@
         "timer",
         "until",
         "written",
-    )  # fmt: skip
+    )
 
     def __init__(
         self, pool: Pool, payload: Callable[[int], bytes], timeout_s: float, done: Callable[[Result], None]
--- a/heathglade/policy.py
+++ b/heathglade/policy.py
@@ -5,7 +5,7 @@
 answer. Times are milliseconds, rates are units a second. README.md tells the design.
 """
 
-from __future__ import annotations  # noqa: I001
+from __future__ import annotations
 
 import hashlib
 import heapq
@@ -17,10 +17,32 @@
 from dataclasses import dataclass, field
 
 from .interface import (
-    Action, AnswerBegan, AttemptEnded, Count, CountReply, Ending, Event, Fail, ListKind, Log, Plan, Refuse,
-    Repeat, Request, RequestClass, RequestGone, Scope, Send, ServerEntry, ServerList, ServerState, SetTimer,
-    Settings, Subscribe, TimerFired,
-)  # fmt: skip
+    Action,
+    AnswerBegan,
+    AttemptEnded,
+    Count,
+    CountReply,
+    Ending,
+    Event,
+    Fail,
+    ListKind,
+    Log,
+    Plan,
+    Refuse,
+    Repeat,
+    Request,
+    RequestClass,
+    RequestGone,
+    Scope,
+    Send,
+    ServerEntry,
+    ServerList,
+    ServerState,
+    SetTimer,
+    Settings,
+    Subscribe,
+    TimerFired,
+)
 
 WINDOW_S = 1.0  # the fill's window: what a store holds is offered to the demand of this long
 SPEND_S = 0.4
@@ -236,8 +258,11 @@
             # A word of the moment puts the requests of all gateways in a row; no share is needed then.
             if store < units or (c.credit < units and not asked):
                 wait = max(0.0, units - store) / plan.rate * 1000.0
-            elif blind and not self.mute and c.total_at < 0.0 and self.rng.random() > self.with_room.get(
-                plan.name, 1.0
+            elif (
+                blind
+                and not self.mute
+                and c.total_at < 0.0
+                and self.rng.random() > self.with_room.get(plan.name, 1.0)
             ):  # never heard of
                 wait = units / plan.rate * 1000.0  # beyond the quota as likely as those that asked were
             if asked:
--- a/heathglade/simhost.py
+++ b/heathglade/simhost.py
@@ -42,9 +42,19 @@
     "lost": api.ListKind.FAILED,
 }
 WIDTHS = {
-    "create": 3, "shutdown": 1, "directory": 2, "topology": 4, "accept": 11, "streaming": 4, "ended": 10,
-    "gone": 2, "alarm": 2, "echo": 5, "whisper": 3, "ledger_reply": 5,
-}  # fmt: skip
+    "create": 3,
+    "shutdown": 1,
+    "directory": 2,
+    "topology": 4,
+    "accept": 11,
+    "streaming": 4,
+    "ended": 10,
+    "gone": 2,
+    "alarm": 2,
+    "echo": 5,
+    "whisper": 3,
+    "ledger_reply": 5,
+}
 E = TypeVar("E", bound=Enum)
 
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -28,17 +28,29 @@
     "balancers": 2,
     "me": 0,
     "domain": {"counter": True, "counter_timeout_ms": 5000.0, "max_units": 6},
-    "limits": {"attempts_cap": 4, "retry_after": True, "max_retry_after_ms": 500.0, "max_open": 1000,
-               "conn_idle_ms": 15000.0, "connect_timeout_ms": 5000.0},
+    "limits": {
+        "attempts_cap": 4,
+        "retry_after": True,
+        "max_retry_after_ms": 500.0,
+        "max_open": 1000,
+        "conn_idle_ms": 15000.0,
+        "connect_timeout_ms": 5000.0,
+    },
     "packages": [{"name": "basic", "per_second": 1000.0, "most_at_once": 4000.0}],
     "profiles": [
         {"name": "read", "repeat": "read_like", "aim_ms": 5000.0, "hard_limit_ms": 20000.0},
-        {"name": "order", "repeat": "idempotency_key", "group": "all", "memory_span_ms": 2000.0,
-         "aim_ms": 5000.0, "hard_limit_ms": 20000.0},
+        {
+            "name": "order",
+            "repeat": "idempotency_key",
+            "group": "all",
+            "memory_span_ms": 2000.0,
+            "aim_ms": 5000.0,
+            "hard_limit_ms": 20000.0,
+        },
         {"name": "charge", "repeat": "non_idempotent", "aim_ms": 5000.0, "hard_limit_ms": 20000.0},
     ],
     "safety": {"cold_from": 0.25, "warm_after_ms": 18000.0, "drain_grace_ms": 250.0},
-}  # fmt: skip
+}
 SERVED = b"*3\r\n$5\r\nvalue\r\n*-1\r\n$20\r\ninflight=7,queue=2.5\r\n"
 
 
@@ -156,8 +168,16 @@
 
 
 def row(server: str, port: int, state: str = "Ready", started_ms: float = 0.0) -> dict[str, Any]:
-    return {"id": server, "addr": f"127.0.0.1:{port}", "zone": "a", "kind": "m", "cell": 0, "state": state,
-            "weight": 1.0, "started_ms": started_ms}  # fmt: skip
+    return {
+        "id": server,
+        "addr": f"127.0.0.1:{port}",
+        "zone": "a",
+        "kind": "m",
+        "cell": 0,
+        "state": state,
+        "weight": 1.0,
+        "started_ms": started_ms,
+    }
 
 
 class Client:
@@ -247,11 +267,15 @@
 def raw_config(discovery: int, counter: int, rows: list[dict[str, Any]], listen: int = 1) -> dict[str, Any]:
     """A configuration as the platform writes it."""
     return {
-        "name": "n0", "listen": f"127.0.0.1:{listen}", "discovery": f"127.0.0.1:{discovery}",
-        "counter": f"127.0.0.1:{counter}", "seed": "8c1f30d27a5be964", "settings": SETTINGS,
+        "name": "n0",
+        "listen": f"127.0.0.1:{listen}",
+        "discovery": f"127.0.0.1:{discovery}",
+        "counter": f"127.0.0.1:{counter}",
+        "seed": "8c1f30d27a5be964",
+        "settings": SETTINGS,
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"version": 1, "full": True, "servers": rows},
-    }  # fmt: skip
+    }
 
 
 def config(discovery: int, counter: int, rows: list[dict[str, Any]], **changes: Any) -> Config:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -80,9 +80,11 @@
     good, text = slopes(folder / "s.json"), SIZE.read_text()
     cases: list[tuple[Path, Path, str]] = [(folder / "none.toml", good, "none.toml")]
     changes: dict[str, Any] = {
-        "size.zones": ("zones = 23", "zones = 3"), "size.nodes": ("routes = 25000", "nodes = 1"),
-        "size.servers": ("servers = 20000", "servers = 1000"), "limits.memory_mb": ("memory_mb = 256", ""),
-    }  # fmt: skip
+        "size.zones": ("zones = 23", "zones = 3"),
+        "size.nodes": ("routes = 25000", "nodes = 1"),
+        "size.servers": ("servers = 20000", "servers = 1000"),
+        "limits.memory_mb": ("memory_mb = 256", ""),
+    }
     for key, (old, new) in changes.items():
         path = folder / f"{key}.toml"
         path.write_text(text.replace(old, new))
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -350,11 +350,15 @@
 def test_same_events_and_seed_give_the_same_actions_in_any_process() -> None:
     logs = [
         subprocess.run(
-            [sys.executable, "-c", SCRIPT], cwd=ROOT, env={"PYTHONHASHSEED": seed, "PYTHONPATH": str(ROOT)},
-            capture_output=True, text=True, check=True,
+            [sys.executable, "-c", SCRIPT],
+            cwd=ROOT,
+            env={"PYTHONHASHSEED": seed, "PYTHONPATH": str(ROOT)},
+            capture_output=True,
+            text=True,
+            check=True,
         ).stdout
         for seed in ("0", "1", "12345")
-    ]  # fmt: skip
+    ]
     assert len(logs[0]) > 1000 and logs[0] == logs[1] == logs[2]
 
 
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -115,12 +115,21 @@
 @pytest.mark.parametrize(
     "arguments",
     [
-        ["demo", "--seconds", "0"], ["demo", "--rate", "nan"], ["demo", "--rate", "many"], ["demo", "--nope"],
-        ["demo", "--seed", "-1"], ["demo", "more"], ["demo", "--json", "/no/such/folder/x.json"],
-        ["demo", "--json", "/"], ["lab", "load", "--gateways", "0"], ["lab", "load", "--servers", "9999"],
-        ["lab", "load", "--service-ms", "-1"], ["lab", "load", "--beyond", "2"], ["nothing"],
+        ["demo", "--seconds", "0"],
+        ["demo", "--rate", "nan"],
+        ["demo", "--rate", "many"],
+        ["demo", "--nope"],
+        ["demo", "--seed", "-1"],
+        ["demo", "more"],
+        ["demo", "--json", "/no/such/folder/x.json"],
+        ["demo", "--json", "/"],
+        ["lab", "load", "--gateways", "0"],
+        ["lab", "load", "--servers", "9999"],
+        ["lab", "load", "--service-ms", "-1"],
+        ["lab", "load", "--beyond", "2"],
+        ["nothing"],
     ],
-)  # fmt: skip
+)
 def test_bad_arguments_get_one_line_and_start_nothing(
     tmp_path: Path, arguments: list[str], monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
@@ -149,13 +158,15 @@
 @pytest.mark.parametrize(
     ("changes", "sound"),
     [
-        ({}, True), ({"doubled": 1}, False), ({"ran_twice": 1}, False),
+        ({}, True),
+        ({"doubled": 1}, False),
+        ({"ran_twice": 1}, False),
         ({"outcomes": {"served": 8, "lost": 1}, "losses": {"no answer": 1}}, False),
         ({"outcomes": {"served": 0, "lost": 0}}, False),
         ({"gateways": [trial.GatewayFigures("g", 9, 1.0, 1.0, 0, killed=True)]}, False),
         ({"gateways": [trial.GatewayFigures("g", 9, 1.0, 1.0, 1, trouble="gone")]}, False),
     ],
-)  # fmt: skip
+)
 def test_a_trial_is_sound_if_each_request_got_its_one_answer(changes: dict[str, Any], sound: bool) -> None:
     made = result(**changes)
     assert made.sound is sound and bool(troubles(made)) is not sound
--- a/tests/test_demo_load.py
+++ b/tests/test_demo_load.py
@@ -75,9 +75,18 @@
 
 @pytest.mark.parametrize(
     "arguments",
-    [(0.0, 1.0), (-1.0, 1.0), (float("nan"), 1.0), (1.0, float("inf")), (1.0, 0.0), (1e9, 1.0),
-     (20_000.0, 3600.0), (1.0, 1.0, -1), (1.0, 1.0, 1, 1.5)],
-)  # fmt: skip
+    [
+        (0.0, 1.0),
+        (-1.0, 1.0),
+        (float("nan"), 1.0),
+        (1.0, float("inf")),
+        (1.0, 0.0),
+        (1e9, 1.0),
+        (20_000.0, 3600.0),
+        (1.0, 1.0, -1),
+        (1.0, 1.0, 1, 1.5),
+    ],
+)
 def test_a_load_without_bounds_is_turned_down(arguments: tuple[Any, ...]) -> None:
     with pytest.raises(LoadError) as error:
         LoadPlan(*arguments)
@@ -125,12 +134,16 @@
 @pytest.mark.parametrize(
     ("reply", "outcome", "why"),
     [
-        (b"-BUSY 20\r\n", Outcome.REFUSED_AFTER, ""), (b"-BUSY\r\n", Outcome.REFUSED, ""),
-        (b"-BUSY soon\r\n", Outcome.FAILED, ""), (b"-ERR failed\r\n", Outcome.FAILED, ""),
-        (b"$-1\r\n", Outcome.FAILED, ""), (b"$6\r\nother \r\n", Outcome.LOST, "another request's value"),
-        (b"?", Outcome.LOST, "connection ended"), (None, Outcome.LOST, "no answer"),
+        (b"-BUSY 20\r\n", Outcome.REFUSED_AFTER, ""),
+        (b"-BUSY\r\n", Outcome.REFUSED, ""),
+        (b"-BUSY soon\r\n", Outcome.FAILED, ""),
+        (b"-ERR failed\r\n", Outcome.FAILED, ""),
+        (b"$-1\r\n", Outcome.FAILED, ""),
+        (b"$6\r\nother \r\n", Outcome.LOST, "another request's value"),
+        (b"?", Outcome.LOST, "connection ended"),
+        (None, Outcome.LOST, "no answer"),
     ],
-)  # fmt: skip
+)
 def test_what_each_answer_counts_as(
     reply: bytes | None, outcome: Outcome, why: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/test_demo_troubles.py
+++ b/tests/test_demo_troubles.py
@@ -27,10 +27,22 @@
 
 @pytest.mark.parametrize(
     "text",
-    ["", "servers", ":reset", "servers:nothing", "servers:reset,share=2", "servers:reset,share=x",
-     "servers:reset,from=2,to=1", "servers:reset,from=nan", "servers:reset,to=1,to=2", "servers:reset,when=1",
-     "servers:late", "servers:reset,delay=5", "s0:drain,share=0.5"],
-)  # fmt: skip
+    [
+        "",
+        "servers",
+        ":reset",
+        "servers:nothing",
+        "servers:reset,share=2",
+        "servers:reset,share=x",
+        "servers:reset,from=2,to=1",
+        "servers:reset,from=nan",
+        "servers:reset,to=1,to=2",
+        "servers:reset,when=1",
+        "servers:late",
+        "servers:reset,delay=5",
+        "s0:drain,share=0.5",
+    ],
+)
 def test_a_trouble_that_cannot_be_read_gets_one_line(text: str) -> None:
     with pytest.raises(TroubleError) as error:
         read(text)
@@ -67,7 +79,17 @@
     path = tmp_path / "result.json"
     faults = ("--fault", "servers:error,share=0.4", "--fault", "s0:drain,from=0.2,to=0.6")
     status, out, err = run(
-        tmp_path, "lab", "load", "--gateways", "1", "--rate", "150", "--seconds", "1", "--json", str(path),
+        tmp_path,
+        "lab",
+        "load",
+        "--gateways",
+        "1",
+        "--rate",
+        "150",
+        "--seconds",
+        "1",
+        "--json",
+        str(path),
         *faults,
     )
     assert (status, err) == (0, "") and "Fault: s0:drain,from=0.2,to=0.6" in out
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -49,9 +49,14 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets))
 
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "glenchute", cwd=ROOT, stderr=asyncio.subprocess.PIPE, preexec_fn=limit,
+        sys.executable,
+        "-m",
+        "glenchute",
+        cwd=ROOT,
+        stderr=asyncio.subprocess.PIPE,
+        preexec_fn=limit,
         env={**os.environ, "EDGE_CONFIG": str(path)},
-    )  # fmt: skip
+    )
     try:
         yield process
     finally:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -269,7 +269,7 @@
     assert len(calls) / (60.0 - 2 * TOLD_S) <= 1.2 * 200 / (0.5 * discovery_module.MOST_TURN_S)
 
 
-CUT = b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"version\":5,"
+CUT = b'HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"version":5,'
 BUSY, NO_HTTP = http(b"", "503 Service Unavailable"), b"HTTP/1.1 what\r\n\r\n"
 ENDINGS = [BUSY, http(b"", "500 Oops"), http(b"{"), NO_HTTP, CUT]
 
--- a/tests/test_lab_experiment.py
+++ b/tests/test_lab_experiment.py
@@ -45,11 +45,17 @@
         (GOOD + "part = 1.5\n", 9, "load.part"),
         (GOOD.replace("[1, 2]", "[1, 3]"), 8, "load.spread: more than"),
         (GOOD.replace("servers = 3\n", "servers = 3\nvisible = 4\n"), 6, "fleet.visible: more than the 3"),
-        (GOOD.replace("gateways = 2", "gateways = 2100").replace("servers = 3", "servers = 20000"), 5,
-         "fleet.servers: impossible size"),
+        (
+            GOOD.replace("gateways = 2", "gateways = 2100").replace("servers = 3", "servers = 20000"),
+            5,
+            "fleet.servers: impossible size",
+        ),
         (GOOD.replace("10.0", "1e8"), 7, "load.requests_per_s: impossible size"),
-        (GOOD.replace("10.0", "1e6").replace("seconds = 1.0", "seconds = 60.0"), 7,
-         "load.requests_per_s: impossible size"),
+        (
+            GOOD.replace("10.0", "1e6").replace("seconds = 1.0", "seconds = 60.0"),
+            7,
+            "load.requests_per_s: impossible size",
+        ),
         (GOOD.replace("10.0", "nan"), 7, "load.requests_per_s"),
         (GOOD.replace("seconds = 1.0", "seconds = inf"), 2, "seconds"),
         ("seed = -1\n" + GOOD, 1, "seed"),
@@ -57,16 +63,23 @@
         (GOOD + "most_units = 100000000\n", 9, "load.most_units"),
         (GOOD + "[counter]\nmachines = 100000000\n", 10, "counter.machines"),
         (GOOD + "[servers]\nroom = 1000000000000\n", 10, "servers.room"),
-        (GOOD + 2 * '[[plans]]\nname = "a"\nshare = 1.0\nrate = 1.0\nburst_s = 1.0\nprice = 1.0\n', 16,
-         "plans[1].name: another"),
+        (
+            GOOD + 2 * '[[plans]]\nname = "a"\nshare = 1.0\nrate = 1.0\nburst_s = 1.0\nprice = 1.0\n',
+            16,
+            "plans[1].name: another",
+        ),
         (GOOD + '[[faults]]\nkind = "flood"\nat_s = 0.5\n', 10, "faults[0].kind"),
         (GOOD + '[[faults]]\nkind = "counter_emptied"\nat_s = 2.0\n', 11, "faults[0].at_s: after the end"),
         (GOOD + '[[faults]]\nkind = "counter_mute"\nat_s = 0.5\n', 9, "faults[0].for_s: missing"),
         (GOOD + '[[faults]]\nkind = "zone_cut"\nat_s = 0.5\nfor_s = 1\nzone = "z9"\n', 13, "faults[0].zone"),
-        (GOOD + '[[faults]]\nkind = "counter_emptied"\nat_s = 0.5\n'
-         '[[faults]]\nkind = "servers_crashed"\nat_s = 0.5\ncount = 4\n', 15, "faults[1].count: more than"),
+        (
+            GOOD + '[[faults]]\nkind = "counter_emptied"\nat_s = 0.5\n'
+            '[[faults]]\nkind = "servers_crashed"\nat_s = 0.5\ncount = 4\n',
+            15,
+            "faults[1].count: more than",
+        ),
     ],
-)  # fmt: skip
+)
 def test_a_bad_experiment_is_one_line_and_nothing_is_written(
     tmp_path: Path, text: str, line: int, key: str
 ) -> None:
--- a/tests/test_lab_models.py
+++ b/tests/test_lab_models.py
@@ -310,8 +310,10 @@
     assert ways == [NO_CHANCE.zone_ms, NO_CHANCE.cross_zone_ms, NO_CHANCE.region_ms]
     network.cut.add("z1")
     assert [network.joined(HERE, HERE), network.joined(THERE, THERE), network.joined(HERE, THERE)] == [
-        True, True, False,
-    ]  # fmt: skip
+        True,
+        True,
+        False,
+    ]
     network.apart = True
     assert network.delay(HERE, FAR) is None
     lossy = Network(NetworkFigures(jitter=0.0, loss=1.0), 1)
@@ -321,9 +323,11 @@
 @pytest.mark.parametrize("part", [1.0, 0.1])
 def test_quotas_and_tenants_are_made_to_the_load(part: float) -> None:
     made = Experiment(
-        name="t", seconds=1.0, fleet=Fleet(gateways=10, servers=10),
+        name="t",
+        seconds=1.0,
+        fleet=Fleet(gateways=10, servers=10),
         load=Load(requests_per_s=1000.0, tenants=2000, use=0.5, part=part),
-    )  # fmt: skip
+    )
     plan_list, counts = plans(made)
     quotas = sum(plan.rate * count for plan, count in zip(plan_list, counts, strict=True))
     assert quotas * 0.5 == pytest.approx(1000.0 * mean_units(8))
@@ -341,9 +345,15 @@
 @pytest.mark.parametrize("part", [1.0, 0.1])
 def test_heavy_and_spiky_tenants_ask_for_many_times_their_quota_within_the_whole_rate(part: float) -> None:
     figures = Load(
-        requests_per_s=1000.0, tenants=2000, use=0.8, part=part, skew=0.0, heavy=0.08, spiky=0.2,
+        requests_per_s=1000.0,
+        tenants=2000,
+        use=0.8,
+        part=part,
+        skew=0.0,
+        heavy=0.08,
+        spiky=0.2,
         spike_x=(4.0, 8.0),
-    )  # fmt: skip
+    )
     made = Experiment(name="t", seconds=1.0, fleet=Fleet(gateways=10, servers=10), load=figures)
     everyone = tenants(made, *plans(made), seed=1)
     quota = {plan.name: plan.rate / mean_units(8) for plan in plans(made)[0]}
@@ -362,9 +372,16 @@
 def test_spikes_come_and_go_and_leave_the_ordinary_demand() -> None:
     calm = fleet(20.0, load=Load(requests_per_s=60.0, tenants=30, spread=(1, 2), use=0.4, skew=0.0))
     figures = Load(
-        requests_per_s=60.0, tenants=30, spread=(1, 2), use=0.9, skew=0.0, spiky=0.1, spike_x=(8.0, 8.0),
-        spike_s=(3.0, 3.0), spike_every_s=(4.0, 5.0),
-    )  # fmt: skip
+        requests_per_s=60.0,
+        tenants=30,
+        spread=(1, 2),
+        use=0.9,
+        skew=0.0,
+        spiky=0.1,
+        spike_x=(8.0, 8.0),
+        spike_s=(3.0, 3.0),
+        spike_every_s=(4.0, 5.0),
+    )
     spiky = fleet(20.0, load=figures)
     spiking = [tenant for pool in spiky.pools for tenant in pool.tenants if tenant.spike]
     assert len(spiking) == pytest.approx(3, abs=1)
@@ -442,9 +459,13 @@
     clients.first_sent(one(1.0))
     assert books.rules["ceiling_overruns"] == 1
     assert dict(books.quota) == {
-        "refused": 2, "refused_with_room": 1, "tries_inside": 3, "units_inside": 8, "tries_beyond": 1,
+        "refused": 2,
+        "refused_with_room": 1,
+        "tries_inside": 3,
+        "units_inside": 8,
+        "tries_beyond": 1,
         "units_beyond": 6,
-    }  # fmt: skip
+    }
     world.kernel.run(now + 100_000.0)
     tenant.fill(world.kernel.now)
     assert (tenant.store, tenant.ceiling) == (10.0, 12.0)
@@ -481,6 +502,8 @@
     calls[0].end(Ending.TIMEOUT, 0.0)
     calls[0].end(Ending.OK, 1.0)  # too late
     assert [(reply.ending, reply.total) for reply in told] == [
-        (Ending.TIMEOUT, 0.0), (Ending.FULL, 0.0), (Ending.OK, 3.0),
-    ]  # fmt: skip
+        (Ending.TIMEOUT, 0.0),
+        (Ending.FULL, 0.0),
+        (Ending.OK, 3.0),
+    ]
     assert gateway.replies == {}
--- a/tests/test_lab_run.py
+++ b/tests/test_lab_run.py
@@ -43,9 +43,13 @@
     """A small fleet with faults, played."""
     sizes = Fleet(gateways=6, servers=9, zones=3)
     made = Experiment(
-        name="t", seconds=seconds, fleet=sizes, faults=faults,
-        load=Load(requests_per_s=90.0, tenants=40, spread=(2, 4)), **parts,
-    )  # fmt: skip
+        name="t",
+        seconds=seconds,
+        fleet=sizes,
+        faults=faults,
+        load=Load(requests_per_s=90.0, tenants=40, spread=(2, 4)),
+        **parts,
+    )
     world = World(made, seed)
     world.play()
     return world
@@ -117,9 +121,12 @@
 def test_regions_apart_hear_of_changes_when_they_are_joined_again() -> None:
     def heard(*faults: Fault) -> list[int]:
         made = Experiment(
-            name="t", seconds=8.0, fleet=Fleet(gateways=4, servers=12, visible=6, regions=2, zones=4),
-            load=Load(requests_per_s=40.0, tenants=20, spread=(1, 2)), faults=faults,
-        )  # fmt: skip
+            name="t",
+            seconds=8.0,
+            fleet=Fleet(gateways=4, servers=12, visible=6, regions=2, zones=4),
+            load=Load(requests_per_s=40.0, tenants=20, spread=(1, 2)),
+            faults=faults,
+        )
         world = World(made, 1)
         world.play()
         assert world.books.service["lost"] == 0
@@ -151,9 +158,11 @@
 
 def test_gateways_know_their_pool_only() -> None:
     made = Experiment(
-        name="t", seconds=1.0, fleet=Fleet(gateways=7, servers=60, visible=20, regions=2, zones=4),
+        name="t",
+        seconds=1.0,
+        fleet=Fleet(gateways=7, servers=60, visible=20, regions=2, zones=4),
         load=Load(requests_per_s=30.0, tenants=12, spread=(1, 2)),
-    )  # fmt: skip
+    )
     world = World(made, 1)
     assert [len(pool.gateways) for pool in world.pools] == [3, 2, 2]
     assert [len(roll.entries) for roll in world.service.rolls] == [20, 20, 20]
@@ -196,9 +205,11 @@
 
     def events(gateways: int, servers: int, rate: float) -> int:
         made = Experiment(
-            name="t", seconds=4.0, fleet=Fleet(gateways=gateways, servers=servers),
+            name="t",
+            seconds=4.0,
+            fleet=Fleet(gateways=gateways, servers=servers),
             load=Load(requests_per_s=rate, tenants=200, spread=(1, 1)),
-        )  # fmt: skip
+        )
         world = World(made, 1)
         world.play()
         return world.kernel.done
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -559,8 +559,19 @@
     play(scenario())
 
 
-SPOILT = [b"$3\r\nnan\r\n", b"$3\r\ninf\r\n", b"$0\r\n\r\n", b"$-1\r\n", b"+3\r\n", b":3\r\n", b"-NOISE\r\n",
-          b"-BUSY?\r\n", b"$9\r\n1\r\n$1\r\n12", b"\x00\xff", b"*1\r\n$1\r\n3\r\n"]  # fmt: skip
+SPOILT = [
+    b"$3\r\nnan\r\n",
+    b"$3\r\ninf\r\n",
+    b"$0\r\n\r\n",
+    b"$-1\r\n",
+    b"+3\r\n",
+    b":3\r\n",
+    b"-NOISE\r\n",
+    b"-BUSY?\r\n",
+    b"$9\r\n1\r\n$1\r\n12",
+    b"\x00\xff",
+    b"*1\r\n$1\r\n3\r\n",
+]
 
 
 @pytest.mark.parametrize("spoilt", SPOILT)
@@ -722,9 +733,13 @@
 async def start(path: Path, **environ: str) -> asyncio.subprocess.Process:
     """The program as a process of its own."""
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "glenchute", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
+        sys.executable,
+        "-m",
+        "glenchute",
+        cwd=ROOT,
+        stderr=asyncio.subprocess.PIPE,
         env={**os.environ, "EDGE_CONFIG": str(path), **environ},
-    )  # fmt: skip
+    )
 
 
 @pytest.mark.parametrize(
@@ -792,6 +807,7 @@
         server = RespPeer(always(SERVED))
         await server.start()
         rows = [row("s0", server.port)]
+
         async def two(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
             return b"+PONG\r\n" if words[0] == b"PING" else b"$1\r\n2\r\n"
 
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -65,12 +65,15 @@
 @pytest.mark.parametrize(
     ("words", "reply"),
     [
-        ([b"PING"], "PONG"), ([b"CLIENT", b"SETNAME", b"x"], "OK"), ([b"INFO", b"load"], "NOPERM"),
-        ([b"HELLO", b"3"], "ERR unknown command"), ([b"CALL.GET", CUSTOMER, b"r1"], "SYNTAX"),
+        ([b"PING"], "PONG"),
+        ([b"CLIENT", b"SETNAME", b"x"], "OK"),
+        ([b"INFO", b"load"], "NOPERM"),
+        ([b"HELLO", b"3"], "ERR unknown command"),
+        ([b"CALL.GET", CUSTOMER, b"r1"], "SYNTAX"),
         ([b"CALL.GET", CUSTOMER, b"r1", b"c=read"], "SYNTAX"),
         ([b"CALL.GET", CUSTOMER, b"r1", GET + b",units=nan"], "SYNTAX"),
     ],
-)  # fmt: skip
+)
 def test_a_server_answers_what_is_no_request(words: list[bytes], reply: str) -> None:
     async def scenario(one: st.ServerStandIn, client: Client) -> None:
         found = await client.ask(*words)
@@ -168,11 +171,16 @@
 @pytest.mark.parametrize(
     "words",
     [
-        [b"INCRTTL", b"a", b"1"], [b"INCRTTL", b"", b"1", b"9"], [b"INCRTTL", b"x" * 65, b"1", b"9"],
-        [b"INCRTTL", b"a", b"2e9", b"9"], [b"INCRTTL", b"a", b"nan", b"9"], [b"INCRTTL", b"a", b"1", b"0"],
-        [b"INCRTTL", b"a", b"one", b"9"], [b"GET", b"a"],
+        [b"INCRTTL", b"a", b"1"],
+        [b"INCRTTL", b"", b"1", b"9"],
+        [b"INCRTTL", b"x" * 65, b"1", b"9"],
+        [b"INCRTTL", b"a", b"2e9", b"9"],
+        [b"INCRTTL", b"a", b"nan", b"9"],
+        [b"INCRTTL", b"a", b"1", b"0"],
+        [b"INCRTTL", b"a", b"one", b"9"],
+        [b"GET", b"a"],
     ],
-)  # fmt: skip
+)
 def test_the_counter_turns_down_what_is_no_call(words: list[bytes]) -> None:
     async def scenario(one: st.CounterStandIn, client: Client) -> None:
         assert str(await client.ask(*words)).startswith("ERR ")
@@ -279,9 +287,13 @@
 
 def test_faults_are_checked_when_they_are_made_and_injected() -> None:
     for kind, share, delay in (
-        ("reset", 0.0, 0.0), ("reset", 1.5, 0.0), ("reset", float("nan"), 0.0), ("reset", 1.0, 5.0),
-        ("late", 1.0, 0.0), ("late", 1.0, float("inf")),
-    ):  # fmt: skip
+        ("reset", 0.0, 0.0),
+        ("reset", 1.5, 0.0),
+        ("reset", float("nan"), 0.0),
+        ("reset", 1.0, 5.0),
+        ("late", 1.0, 0.0),
+        ("late", 1.0, float("inf")),
+    ):
         with pytest.raises(st.FaultError):
             st.Fault(st.FaultKind(kind), share, delay)
     with pytest.raises(st.FaultError, match="cut"):
@@ -314,9 +326,15 @@
 
 @pytest.mark.parametrize(
     ("kind", "outcome", "runs"),
-    [("reset", "broken", 1), ("silence", "open", 1), ("partial", "broken", 1), ("spoilt", "broken", 1),
-     ("error", "failed", 1), ("unavailable", "busy", 0)],
-)  # fmt: skip
+    [
+        ("reset", "broken", 1),
+        ("silence", "open", 1),
+        ("partial", "broken", 1),
+        ("spoilt", "broken", 1),
+        ("error", "failed", 1),
+        ("unavailable", "busy", 0),
+    ],
+)
 def test_what_a_faulty_server_shows_and_whether_it_has_run(kind: str, outcome: str, runs: int) -> None:
     async def scenario(one: st.ServerStandIn, client: Client) -> None:
         one.faults.inject(st.Fault(st.FaultKind(kind)))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -173,9 +173,14 @@
         line(40.0, ["ended", 3, "r", 0, "s:1", "pass", 18.0, True, 0, 0, [1, 2, 3]]),
     ]
     done = subprocess.run(
-        ["/bin/sh", "-c", command], input="\n".join(session) + "\n", cwd=ROOT,
-        capture_output=True, text=True, timeout=60, check=True,
-    )  # fmt: skip
+        ["/bin/sh", "-c", command],
+        input="\n".join(session) + "\n",
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=True,
+    )
     replies = [json.loads(reply)["actions"] for reply in done.stdout.splitlines()]
     assert len(replies) == 4 and replies[0] == []
     assert [a[2] for a in replies[2] if a[0] == "hand_off"] == ["r"]
