--- a/glenchute/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""glenchute: a quota-keeping gateway on real sockets, driven by the decisions of heathglade."""
--- /dev/null
+++ b/quota_gateway/lab/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The command line `quota-gateway`."""
--- a/fleetlab/demo.py
+++ b/quota_gateway/lab/cli/demo.py
@@ -1,4 +1,4 @@
-"""`gingerwheel demo`: one real gateway with stand-ins on loopback, and a few seconds of load."""
+"""`quota-gateway demo`: one real gateway with stand-ins on loopback, and a few seconds of load."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 import typer
 
-from .command import perform
-from .load import LoadError, LoadPlan
-from .rig import Shape
+from quota_gateway.lab.cli.trial_command import perform
+from quota_gateway.lab.load.client import LoadError, LoadPlan
+from quota_gateway.lab.load.testbed import Shape
 
 
 def demo(
--- a/fleetlab/lab.py
+++ b/quota_gateway/lab/cli/lab.py
@@ -1,4 +1,4 @@
-"""The commands `gingerwheel lab run`, `slopes` and `capacity`."""
+"""The commands `quota-gateway lab run`, `slopes` and `capacity`."""
 
 from __future__ import annotations
 
@@ -19,9 +19,10 @@
 from rich.console import Console
 from rich.progress import Progress, TaskProgressColumn, TextColumn, TimeElapsedColumn
 
-from . import capacity, results, slopes
-from .experiment import Experiment, ExperimentError, load, load_as
-from .sim.world import World
+from quota_gateway.lab import results
+from quota_gateway.lab.scaling import capacity, slopes
+from quota_gateway.lab.simulation.experiment import Experiment, ExperimentError, load, load_as
+from quota_gateway.lab.simulation.simulation import World
 
 app = typer.Typer(
     name="lab", no_args_is_help=True, add_completion=False, help="The emulator of the fleet, and its figures."
@@ -31,7 +32,7 @@
 
 def fail(message: str) -> typer.Exit:
     """One line for the operator, and the status of bad input."""
-    print(f"gingerwheel lab: {message}", file=sys.stderr)
+    print(f"quota-gateway lab: {message}", file=sys.stderr)
     return typer.Exit(2)
 
 
@@ -174,7 +175,7 @@
 @app.command("capacity")
 def work_out(
     size: Annotated[Path, typer.Argument(help="The size of the fleet, a TOML file.")],
-    measured: Annotated[Path, typer.Argument(help="Slopes, as `gingerwheel lab slopes --out` wrote them.")],
+    measured: Annotated[Path, typer.Argument(help="Slopes, as `quota-gateway lab slopes --out` wrote them.")],
     out: Out = None,
 ) -> None:
     """Works out what each role needs at a size, from measured slopes, as a table for a page."""
--- a/fleetlab/loadcmd.py
+++ b/quota_gateway/lab/cli/load.py
@@ -7,11 +7,11 @@
 
 import typer
 
-from .command import perform
-from .load import LoadPlan
-from .rig import Shape
-from .standins import ServerModel
-from .troubles import read
+from quota_gateway.lab.cli.trial_command import perform
+from quota_gateway.lab.fakes import ServerModel
+from quota_gateway.lab.load.client import LoadPlan
+from quota_gateway.lab.load.fault_injection import read
+from quota_gateway.lab.load.testbed import Shape
 
 FAULT = "TARGET:KIND[,share=S][,delay=MS][,from=S][,to=S], as servers:reset,share=0.2. Repeatable."
 
--- a/fleetlab/cli.py
+++ b/quota_gateway/lab/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line `gingerwheel`."""
+"""The command line `quota-gateway`."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 import typer
 
-from . import demo, lab, loadcmd
+from quota_gateway.lab.cli import demo, lab
+from quota_gateway.lab.cli import load as loadcmd
 
-app = typer.Typer(name="gingerwheel", no_args_is_help=True, add_completion=False)
+app = typer.Typer(name="quota-gateway", no_args_is_help=True, add_completion=False)
 demo.register(app)
 loadcmd.register(lab.app)
 app.add_typer(lab.app, name="lab")
@@ -29,6 +30,6 @@
             raise
         line = " ".join(message().split())
         if line:  # none where the help was shown instead
-            print(f"gingerwheel: {line}", file=sys.stderr)
+            print(f"quota-gateway: {line}", file=sys.stderr)
         sys.exit(2)
     sys.exit(status if isinstance(status, int) else 0)
--- a/fleetlab/command.py
+++ b/quota_gateway/lab/cli/trial_command.py
@@ -10,12 +10,13 @@
 import structlog
 import typer
 
-from . import report, results
-from .load import LoadPlan
-from .processes import GatewayError
-from .rig import Shape
-from .trial import SignalError, check_output, run, trial, warn
-from .troubles import Trouble, TroubleError
+from quota_gateway.lab import results
+from quota_gateway.lab.load import report
+from quota_gateway.lab.load.client import LoadPlan
+from quota_gateway.lab.load.fault_injection import Trouble, TroubleError
+from quota_gateway.lab.load.gateway_process import GatewayError
+from quota_gateway.lab.load.testbed import Shape
+from quota_gateway.lab.load.trial import SignalError, check_output, run, trial, warn
 
 
 def perform(
--- a/fleetlab/standins/__init__.py
+++ b/quota_gateway/lab/fakes/__init__.py
@@ -4,11 +4,11 @@
 chooses, with `start`, `stop`, `address` and `faults`; the times in them are real ones.
 """
 
-from .counter import CounterModel, CounterStandIn
-from .discovery import DiscoveryStandIn, ServerList, ServerRow
-from .endpoint import LOOPBACK, Endpoint
-from .faults import Fault, FaultError, FaultKind, Faults
-from .servers import Attempt, Ledger, Outcome, ServerModel, ServerStandIn, made_for
+from quota_gateway.lab.fakes.counter import CounterModel, CounterStandIn
+from quota_gateway.lab.fakes.discovery import DiscoveryStandIn, ServerList, ServerRow
+from quota_gateway.lab.fakes.faults import Fault, FaultError, FaultKind, Faults
+from quota_gateway.lab.fakes.loopback_server import LOOPBACK, Endpoint
+from quota_gateway.lab.fakes.servers import Attempt, Ledger, Outcome, ServerModel, ServerStandIn, made_for
 
 __all__ = [
     "LOOPBACK",
--- a/fleetlab/standins/counter.py
+++ b/quota_gateway/lab/fakes/counter.py
@@ -15,8 +15,8 @@
 import zlib
 from dataclasses import dataclass
 
-from .endpoint import BUSY, OK, PONG, RespEndpoint, Slot, bulk
-from .faults import SPOILT, Fault, FaultKind
+from quota_gateway.lab.fakes.faults import SPOILT, Fault, FaultKind
+from quota_gateway.lab.fakes.loopback_server import BUSY, OK, PONG, RespEndpoint, Slot, bulk
 
 MOST_NAME = 64  # bytes
 MOST_AMOUNT = 1e9
--- a/fleetlab/standins/discovery.py
+++ b/quota_gateway/lab/fakes/discovery.py
@@ -15,8 +15,8 @@
 import h11
 import msgspec
 
-from .endpoint import Connection, Endpoint
-from .faults import FaultKind
+from quota_gateway.lab.fakes.faults import FaultKind
+from quota_gateway.lab.fakes.loopback_server import Connection, Endpoint
 
 PATH = "/v1/servers"
 MOST_WAIT_MS = 60_000.0
--- a/fleetlab/standins/endpoint.py
+++ b/quota_gateway/lab/fakes/loopback_server.py
@@ -12,7 +12,7 @@
 
 import hiredis
 
-from .faults import FaultKind, Faults
+from quota_gateway.lab.fakes.faults import FaultKind, Faults
 
 LOOPBACK = "127.0.0.1"
 PONG = b"+PONG\r\n"
--- a/fleetlab/standins/servers.py
+++ b/quota_gateway/lab/fakes/servers.py
@@ -18,8 +18,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from .endpoint import BUSY, OK, PONG, RespEndpoint, Slot, bulk
-from .faults import SPOILT, Fault, FaultKind
+from quota_gateway.lab.fakes.faults import SPOILT, Fault, FaultKind
+from quota_gateway.lab.fakes.loopback_server import BUSY, OK, PONG, RespEndpoint, Slot, bulk
 
 FAILED = b"-ERR failed\r\n"
 SYNTAX = b"-SYNTAX\r\n"
--- /dev/null
+++ b/quota_gateway/lab/load/__init__.py
@@ -0,0 +1,1 @@
+"""Load tests of real gateway processes on loopback."""
--- a/fleetlab/load.py
+++ b/quota_gateway/lab/load/client.py
@@ -25,8 +25,8 @@
 import numpy
 from hdrh.histogram import HdrHistogram
 
-from .site import Site
-from .standins import Ledger, made_for
+from quota_gateway.lab.fakes import Ledger, made_for
+from quota_gateway.lab.load.deployment import Site
 
 MOST_REQUESTS = 1_000_000
 MOST_SECONDS = 3600.0
--- a/fleetlab/troubles.py
+++ b/quota_gateway/lab/load/fault_injection.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass
 from functools import partial
 
-from .rig import Rig
-from .standins import Fault, FaultError, FaultKind, Faults, ServerRow, ServerStandIn
+from quota_gateway.lab.fakes import Fault, FaultError, FaultKind, Faults, ServerRow, ServerStandIn
+from quota_gateway.lab.load.testbed import Rig
 
 DRAIN = "drain"
 KEYS = ("share", "delay", "from", "to")
--- a/fleetlab/processes.py
+++ b/quota_gateway/lab/load/gateway_process.py
@@ -16,7 +16,7 @@
 
 import structlog
 
-from .standins import LOOPBACK
+from quota_gateway.lab.fakes import LOOPBACK
 
 READY_S = 15.0  # a start takes a tenth of a second; a crowded machine may take long
 END_S = 8.0  # from SIGTERM: the longest deadline counts as 3 s, and 0.7 s more
@@ -72,7 +72,7 @@
         environ = {key: value for key, value in os.environ.items() if not key.startswith("EDGE_")}
         with open(self._log, "wb") as output:
             self._process = subprocess.Popen(
-                [sys.executable, "-m", "glenchute"],
+                [sys.executable, "-m", "quota_gateway.network"],
                 env={**environ, "EDGE_CONFIG": str(self._config)},
                 stdin=subprocess.DEVNULL,
                 stdout=output,
--- a/fleetlab/quota.py
+++ b/quota_gateway/lab/load/quota_audit.py
@@ -12,9 +12,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from .load import Outcome, Request
-from .site import Plan, Site
-from .standins import Ledger
+from quota_gateway.lab.fakes import Ledger
+from quota_gateway.lab.load.client import Outcome, Request
+from quota_gateway.lab.load.deployment import Plan, Site
 
 
 @dataclass(slots=True)
--- a/fleetlab/report.py
+++ b/quota_gateway/lab/load/report.py
@@ -5,7 +5,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from .trial import Result
+from quota_gateway.lab.load.trial import Result
 
 NAMES = {
     "served": "served",
--- a/fleetlab/rig.py
+++ b/quota_gateway/lab/load/testbed.py
@@ -11,9 +11,7 @@
 
 import msgspec
 
-from . import site
-from .processes import GatewayProcess
-from .standins import (
+from quota_gateway.lab.fakes import (
     CounterModel,
     CounterStandIn,
     DiscoveryStandIn,
@@ -23,6 +21,8 @@
     ServerRow,
     ServerStandIn,
 )
+from quota_gateway.lab.load import deployment as site
+from quota_gateway.lab.load.gateway_process import GatewayProcess
 
 MOST_GATEWAYS = 32
 MOST_SERVERS = 500
@@ -81,7 +81,7 @@
             await endpoint.start()
         for server in self.servers:
             self.discovery.put(ServerRow(server.name, server.address))
-        self._folder = tempfile.TemporaryDirectory(prefix="gingerwheel-")
+        self._folder = tempfile.TemporaryDirectory(prefix="quota-gateway-")
         for number in range(self.shape.gateways):
             gateway = GatewayProcess(f"gateway-{number}", Path(self._folder.name))
             self.gateways.append(gateway)
--- a/fleetlab/trial.py
+++ b/quota_gateway/lab/load/trial.py
@@ -19,12 +19,21 @@
 from rich.console import Console
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
-from . import site
-from .load import MEAN_UNITS, Load, LoadPlan, Outcome, Request, Tally, percentiles_ms, schedule
-from .quota import audit
-from .rig import Rig, Shape
-from .standins import LOOPBACK
-from .troubles import Trouble, Troubles
+from quota_gateway.lab.fakes import LOOPBACK
+from quota_gateway.lab.load import deployment as site
+from quota_gateway.lab.load.client import (
+    MEAN_UNITS,
+    Load,
+    LoadPlan,
+    Outcome,
+    Request,
+    Tally,
+    percentiles_ms,
+    schedule,
+)
+from quota_gateway.lab.load.fault_injection import Trouble, Troubles
+from quota_gateway.lab.load.quota_audit import audit
+from quota_gateway.lab.load.testbed import Rig, Shape
 
 T = TypeVar("T")
 FLOOR_S = 2.0  # of load without a gateway, at most, to tell what the tool itself adds
@@ -232,4 +241,4 @@
 
 def warn(text: str) -> None:
     """One line on standard error."""
-    print(f"gingerwheel: {' '.join(text.split())}", file=sys.stderr)
+    print(f"quota-gateway: {' '.join(text.split())}", file=sys.stderr)
--- a/fleetlab/capacity.py
+++ b/quota_gateway/lab/scaling/capacity.py
@@ -1,6 +1,6 @@
 """Capacity: what each role needs at a size, worked out from measured slopes.
 
-A figure is a slope (`gingerwheel lab slopes`) times a count of the size file, or a count alone. Beside it
+A figure is a slope (`quota-gateway lab slopes`) times a count of the size file, or a count alone. Beside it
 stand the limit, what is left of that, and the mechanism that carries it; "missing" where none does. Nothing
 is measured here, so that a page can be made anew from the same slopes.
 """
@@ -15,10 +15,9 @@
 
 import msgspec
 
-from glenchute.discovery import WAIT_S
-from heathglade.policy import IDLE_MS, SUBSET, TICK_MS
-
-from .experiment import Count, Part, Positive, Problem, Share
+from quota_gateway.lab.simulation.experiment import Count, Part, Positive, Problem, Share
+from quota_gateway.network.discovery.watch import WAIT_S
+from quota_gateway.policy.gateway import IDLE_MS, SUBSET, TICK_MS
 
 DAY_S = 86_400.0
 HEADERS = 52  # bytes of IP and TCP round a small message, with time stamps: RFC 791, 9293, 7323
@@ -98,7 +97,7 @@
             self.machine: dict[str, Any] = runs[-1]["machine"]
             self.runs = [{slope["name"]: slope for slope in run["slopes"]} for run in runs]
         except (OSError, msgspec.DecodeError, AttributeError, IndexError, KeyError, TypeError) as error:
-            raise SlopesError(f"{path}: not a result of `gingerwheel lab slopes`: {error!r}") from None
+            raise SlopesError(f"{path}: not a result of `quota-gateway lab slopes`: {error!r}") from None
         self.path = path
 
     def found(self, name: str) -> list[dict[str, Any]]:
--- a/fleetlab/slopes.py
+++ b/quota_gateway/lab/scaling/slopes.py
@@ -25,34 +25,19 @@
 import numpy as np
 from rich.console import Console
 
-from glenchute import resp
-from glenchute.commands import Bounds, Catalogue
-from glenchute.discovery import LONG_BODY, WAIT_S, Exchange, LongList, read_list
-from heathglade import Gateway
-from heathglade.interface import (
-    AttemptEnded,
-    Count,
-    CountReply,
-    Ending,
-    ListKind,
-    Plan,
-    Repeat,
-    Request,
-    RequestClass,
-    Safety,
-    Send,
-    ServerEntry,
-    ServerList,
-    ServerState,
-    Settings,
-    TimerFired,
-)
-from heathglade.policy import stable
-
-from . import results, site
-from .processes import GatewayProcess
-from .sim.forms import HTTP_HEAD, call_get, listing
-from .standins import DiscoveryStandIn
+from quota_gateway.lab import results
+from quota_gateway.lab.fakes import DiscoveryStandIn
+from quota_gateway.lab.load import deployment as site
+from quota_gateway.lab.load.gateway_process import GatewayProcess
+from quota_gateway.lab.simulation.wire_sizes import HTTP_HEAD, call_get, listing
+from quota_gateway.network import resp
+from quota_gateway.network.commands import Bounds, Catalogue
+from quota_gateway.network.discovery.watch import LONG_BODY, WAIT_S, Exchange, LongList, read_list
+from quota_gateway.policy.gateway import Gateway, stable
+from quota_gateway.policy_api.actions import IncrementCounter, StartAttempt
+from quota_gateway.policy_api.endpoints import Endpoint, EndpointState, EndpointUpdate, UpdateKind
+from quota_gateway.policy_api.events import AttemptCompleted, CallOutcome, CounterReply, Request, TimerFired
+from quota_gateway.settings import Idempotency, Plan, RequestClass, Settings, SlowStartSettings
 
 SERVERS = (20, 200, 2_000, 20_000)  # the letter: 20,000
 CHANGES = (1, 10, 100)
@@ -67,24 +52,24 @@
 
 SETTINGS = Settings(
     zone="z0",
-    gateways=GATEWAYS,
-    classes=(RequestClass("valuacion", 1000.0, 1.0, Repeat.SAFE),),
+    gateway_count=GATEWAYS,
+    classes=(RequestClass("valuacion", 1000.0, 1.0, Idempotency.IDEMPOTENT),),
     plans=(Plan("basico", rate=1000.0, burst=4000.0),),
-    safety=Safety(0.17, 18000.0, 3.0, 3000.0),  # brief 8.2
+    slow_start=SlowStartSettings(0.17, 18000.0, 3.0, 3000.0),  # brief 8.2
     max_attempts=5,  # brief 7.5
     max_retry_after_ms=500.0,
     counter_timeout_ms=80.0,  # brief 7.6
-    number=1234,
+    gateway_index=1234,
 )
 COUNTED = Settings(
     zone=SETTINGS.zone,
-    gateways=GATEWAYS,
+    gateway_count=GATEWAYS,
     classes=SETTINGS.classes,
     plans=(Plan("basico", rate=1.65, burst=16.0),),
-    safety=SETTINGS.safety,
+    slow_start=SETTINGS.slow_start,
     max_attempts=5,
     max_retry_after_ms=500.0,
-    counter=True,
+    counter_enabled=True,
     counter_timeout_ms=80.0,
 )
 
@@ -143,9 +128,9 @@
     return out
 
 
-def entries(count: int) -> tuple[ServerEntry, ...]:
+def entries(count: int) -> tuple[Endpoint, ...]:
     """Warm servers in three zones."""
-    return tuple(ServerEntry(f"s-{i:08x}", f"z{i % 3}") for i in range(count))
+    return tuple(Endpoint(f"s-{i:08x}", f"z{i % 3}") for i in range(count))
 
 
 class Bench:
@@ -157,7 +142,7 @@
         self.gap_ms = gap_ms  # between two requests: 100 a second, the letter's peak over its gateways
         self.serial = self.sends = self.changes = 0
         self.entries = entries(servers)
-        self.gateway.handle(self.now, ServerList(ListKind.SAVED, self.entries))
+        self.gateway.handle(self.now, EndpointUpdate(UpdateKind.CACHED_SNAPSHOT, self.entries))
 
     def request(self, customer: str) -> None:
         """A request and what its decision leads to, answered at once."""
@@ -169,12 +154,12 @@
         )
         while pending:
             action = pending.pop(0)
-            if isinstance(action, Send):
+            if isinstance(action, StartAttempt):
                 self.sends += 1
-                ended = AttemptEnded(name, 0, action.server, Ending.OK, 100.0, True)
+                ended = AttemptCompleted(name, 0, action.server_id, CallOutcome.OK, 100.0, True)
                 pending += self.gateway.handle(self.now, ended)
-            elif isinstance(action, Count):
-                reply = CountReply(action.name, max(0.0, action.amount), Ending.OK, 1.0)
+            elif isinstance(action, IncrementCounter):
+                reply = CounterReply(action.key, max(0.0, action.amount), CallOutcome.OK, 1.0)
                 pending += self.gateway.handle(self.now, reply)
 
     def tick(self) -> None:
@@ -186,17 +171,17 @@
         """One server drains, or is back."""
         self.changes += 1
         one = self.entries[(self.changes - 1) // 2 % len(self.entries)]
-        state = ServerState.DRAINING if self.changes % 2 else ServerState.ACTIVE
-        entry = ServerEntry(one.server, one.zone, state=state)
-        self.gateway.handle(self.now, ServerList(ListKind.CHANGES, (entry,)))
+        state = EndpointState.DRAINING if self.changes % 2 else EndpointState.ACTIVE
+        entry = Endpoint(one.server_id, one.zone, state=state)
+        self.gateway.handle(self.now, EndpointUpdate(UpdateKind.DELTA, (entry,)))
 
     def first(self) -> None:
         """A new gateway's first list, saved by the one before it."""
-        Gateway(SETTINGS, 7).handle(START_MS, ServerList(ListKind.SAVED, self.entries))
+        Gateway(SETTINGS, 7).handle(START_MS, EndpointUpdate(UpdateKind.CACHED_SNAPSHOT, self.entries))
 
     def whole(self) -> None:
         """The whole list again, nothing new in it."""
-        self.gateway.handle(self.now, ServerList(ListKind.FULL, self.entries))
+        self.gateway.handle(self.now, EndpointUpdate(UpdateKind.SNAPSHOT, self.entries))
 
 
 def by_servers(counts: Sequence[int], repeats: int, step: Callable[[], None]) -> list[Slope]:
@@ -270,7 +255,7 @@
 
 PROCESS = """
 import os, resource
-import glenchute.__main__
+import quota_gateway.network.__main__
 with open("/proc/self/statm") as file:
     print(int(file.read().split()[1]) * resource.getpagesize())
 """
@@ -316,7 +301,7 @@
     start = Slope("a gateway's start, to its first answer", "ms", "servers")
     held = Slope("a gateway's process, most resident", "bytes", "servers")
     for count in counts:
-        with tempfile.TemporaryDirectory(prefix="gingerwheel-") as folder:
+        with tempfile.TemporaryDirectory(prefix="quota-gateway-") as folder:
             made = [asyncio.run(started(count, Path(folder))) for _ in range(repeats)]
         start.add(count, [spent for spent, _ in made])
         held.add(count, [most for _, most in made])
--- a/fleetlab/sim/clients.py
+++ b/quota_gateway/lab/simulation/clients.py
@@ -8,15 +8,14 @@
 import numpy as np
 import numpy.typing as npt
 
-from heathglade.interface import Plan
-
-from ..experiment import Experiment, excess
-from .books import Books
-from .forms import SERVED, call_get
-from .kernel import Kernel, arrays, stream
+from quota_gateway.lab.simulation.experiment import Experiment, excess
+from quota_gateway.lab.simulation.metrics import Books
+from quota_gateway.lab.simulation.scheduler import Kernel, arrays, stream
+from quota_gateway.lab.simulation.wire_sizes import SERVED, call_get
+from quota_gateway.settings import Plan
 
 if TYPE_CHECKING:
-    from .gateways import HollowGateway
+    from quota_gateway.lab.simulation.gateways import HollowGateway
 
 BATCH_MS = 500.0  # arrivals are drawn for this long at a time
 REFUSED_MS = 1.0  # a dead gateway's machine refuses a connection after about this; assumed
@@ -47,7 +46,7 @@
         self.at = now
         self.store = min(self.plan.burst, self.store + self.plan.rate * dt)
         self.fair = min(self.plan.burst, self.fair + self.plan.rate * dt)
-        self.ceiling = min(self.plan.ceiling_burst, self.ceiling + self.plan.ceiling_rate * dt)
+        self.ceiling = min(self.plan.hard_limit_burst, self.ceiling + self.plan.hard_limit_rate * dt)
 
 
 @dataclass(slots=True, eq=False)
@@ -275,9 +274,9 @@
         one.inside = inside
         if inside and tenant.plan.rate:
             tenant.store -= units
-        if tenant.plan.ceiling_rate:
+        if tenant.plan.hard_limit_rate:
             tenant.ceiling -= units
-            if tenant.ceiling < -tenant.plan.ceiling_slack:
+            if tenant.ceiling < -tenant.plan.hard_limit_slack:
                 self.books.rules["ceiling_overruns"] += 1
 
     def refused(self, one: Try) -> None:
@@ -361,7 +360,7 @@
                     shift_ms=1000.0 * rng.uniform(*load.shift_s),
                     weight=rate,
                     store=plan.burst,
-                    ceiling=plan.ceiling_burst,
+                    ceiling=plan.hard_limit_burst,
                     fair=plan.burst,
                     at=0.0,
                     spike=spike,
--- a/fleetlab/sim/counter.py
+++ b/quota_gateway/lab/simulation/counter.py
@@ -5,17 +5,16 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from heathglade.interface import Ending
-
-from ..experiment import Counter as Figures
-from .books import Books
-from .kernel import Kernel, stream
-from .network import Place
+from quota_gateway.lab.simulation.experiment import Counter as Figures
+from quota_gateway.lab.simulation.metrics import Books
+from quota_gateway.lab.simulation.network import Place
+from quota_gateway.lab.simulation.scheduler import Kernel, stream
+from quota_gateway.policy_api.events import CallOutcome
 
 MOST_TTL_MS = 60_000.0
 FORGET_MS = 10_000.0  # names that are over are cleared away this often; it costs memory only
 
-Reply = Callable[[Ending, float], None]
+Reply = Callable[[CallOutcome, float], None]
 
 
 @dataclass(slots=True)
@@ -71,7 +70,7 @@
             return
         if part.free_at - now > self.line_ms:
             self.books.count("counter", "busy")
-            reply(Ending.FULL, 0.0)
+            reply(CallOutcome.REJECTED, 0.0)
             return
         part.free_at = max(now, part.free_at) + part.gap_ms
         self.kernel.at(part.free_at + self.call_ms, self.add, part, name, amount, ttl_ms, reply)
@@ -89,7 +88,7 @@
             held = part.names[name] = Name(0.0, now + max(1.0, min(ttl_ms, MOST_TTL_MS)))
         held.total = float(f"{held.total + amount:.7g}")  # exact to seven digits
         self.books.count("counter", "added")
-        reply(Ending.OK, held.total)
+        reply(CallOutcome.OK, held.total)
 
     def empty(self) -> None:
         """It lost all it held."""
--- a/fleetlab/sim/discovery.py
+++ b/quota_gateway/lab/simulation/discovery.py
@@ -1,7 +1,7 @@
 """Discovery: one service of bounded capacity, watches on the list, and the agents that keep them open.
 
 The agent's habits (how long it waits, when it gives up and how it spreads its calls) are those of
-`glenchute.discovery`, whose constants are used here.
+`quota_gateway.network.discovery.watch`, whose constants are used here.
 """
 
 from __future__ import annotations
@@ -9,25 +9,32 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from glenchute.discovery import FIRST_WAIT_S, IDLE_GAP_S, MOST_TURN_S, QUIET_S, RECONNECT_S, TURN_S, WAIT_S
-from heathglade.interface import ListKind, ServerEntry, ServerList, ServerState
-
-from ..experiment import Discovery as Figures
-from .books import Books
-from .forms import EMPTY_LIST, HTTP_CALL, HTTP_HEAD, row_bytes
-from .kernel import Kernel, stream
-from .network import Network, Place
-
-Told = Callable[[ServerList], None]
+from quota_gateway.lab.simulation.experiment import Discovery as Figures
+from quota_gateway.lab.simulation.metrics import Books
+from quota_gateway.lab.simulation.network import Network, Place
+from quota_gateway.lab.simulation.scheduler import Kernel, stream
+from quota_gateway.lab.simulation.wire_sizes import EMPTY_LIST, HTTP_CALL, HTTP_HEAD, row_bytes
+from quota_gateway.network.discovery.watch import (
+    FIRST_WAIT_S,
+    IDLE_GAP_S,
+    MOST_TURN_S,
+    QUIET_S,
+    RECONNECT_S,
+    TURN_S,
+    WAIT_S,
+)
+from quota_gateway.policy_api.endpoints import Endpoint, EndpointState, EndpointUpdate, UpdateKind
+
+Told = Callable[[EndpointUpdate], None]
 
 
 @dataclass(slots=True)
 class Roll:
     """The list of one pool, as the service has it."""
 
-    first: dict[str, ServerEntry] = field(default_factory=dict)  # of version 0
-    entries: dict[str, ServerEntry] = field(default_factory=dict)
-    log: list[ServerEntry] = field(default_factory=list)  # changes; the version is their number
+    first: dict[str, Endpoint] = field(default_factory=dict)  # of version 0
+    entries: dict[str, Endpoint] = field(default_factory=dict)
+    log: list[Endpoint] = field(default_factory=list)  # changes; the version is their number
     sizes: dict[str, int] = field(default_factory=dict)  # bytes of each line
     parked: dict[Agent, int] = field(default_factory=dict)  # open watches, with the number of the call
 
@@ -58,41 +65,41 @@
         self.down_at = self.up_at = 0.0
         self.had: dict[str, float] = {}  # when it learned that a server drains or is gone
 
-    def add(self, pool: int, entry: ServerEntry) -> None:
+    def add(self, pool: int, entry: Endpoint) -> None:
         """A server that was there before the start."""
         roll = self.rolls[pool]
-        roll.first[entry.server] = roll.entries[entry.server] = entry
-        roll.sizes[entry.server] = row_bytes(entry)
+        roll.first[entry.server_id] = roll.entries[entry.server_id] = entry
+        roll.sizes[entry.server_id] = row_bytes(entry)
 
-    def list_at(self, pool: int, version: int) -> tuple[ServerEntry, ...]:
+    def list_at(self, pool: int, version: int) -> tuple[Endpoint, ...]:
         """The list as it was at a version."""
         roll = self.rolls[pool]
         listed = dict(roll.first)
         for entry in roll.log[:version]:
-            if entry.state is ServerState.GONE:
-                listed.pop(entry.server, None)
+            if entry.state is EndpointState.GONE:
+                listed.pop(entry.server_id, None)
             else:
-                listed[entry.server] = entry
+                listed[entry.server_id] = entry
         return tuple(listed.values())
 
-    def change(self, pool: int, entry: ServerEntry) -> None:
+    def change(self, pool: int, entry: Endpoint) -> None:
         """Something happened to a server; the service hears of it late."""
         self.kernel.after(self.rng.uniform(*self.figures.late_ms), self.publish, pool, entry)
 
-    def publish(self, pool: int, entry: ServerEntry) -> None:
+    def publish(self, pool: int, entry: Endpoint) -> None:
         """The service has a change; open watches are answered."""
         roll = self.rolls[pool]
         self.books.count("discovery", "changes")
         roll.log.append(entry)
-        if entry.state is ServerState.ACTIVE:
-            self.had.pop(entry.server, None)
+        if entry.state is EndpointState.ACTIVE:
+            self.had.pop(entry.server_id, None)
         else:
-            self.had.setdefault(entry.server, self.kernel.now)
-        roll.sizes[entry.server] = row_bytes(entry)
-        if entry.state is ServerState.GONE:
-            roll.entries.pop(entry.server, None)
+            self.had.setdefault(entry.server_id, self.kernel.now)
+        roll.sizes[entry.server_id] = row_bytes(entry)
+        if entry.state is EndpointState.GONE:
+            roll.entries.pop(entry.server_id, None)
         else:
-            roll.entries[entry.server] = entry
+            roll.entries[entry.server_id] = entry
         if self.down:
             return
         parked, roll.parked = roll.parked, {}
@@ -129,12 +136,12 @@
             wait = WAIT_S if agent.heard else FIRST_WAIT_S
             self.kernel.after(1000.0 * wait, self.expire, agent, number)
 
-    def news(self, agent: Agent) -> tuple[ListKind, list[ServerEntry]]:
+    def news(self, agent: Agent) -> tuple[UpdateKind, list[Endpoint]]:
         """What an agent has not been told: the last word on each changed server, or all."""
         roll = self.rolls[agent.pool]
         if agent.since is None or len(roll.log) - agent.since > self.figures.kept:
-            return ListKind.FULL, list(roll.entries.values())
-        return ListKind.CHANGES, list({entry.server: entry for entry in roll.log[agent.since :]}.values())
+            return UpdateKind.SNAPSHOT, list(roll.entries.values())
+        return UpdateKind.DELTA, list({entry.server_id: entry for entry in roll.log[agent.since :]}.values())
 
     def enqueue(self, agent: Agent, number: int) -> None:
         """Gives a call its turn."""
@@ -153,8 +160,8 @@
             return
         kind, entries = self.news(agent)
         roll = self.rolls[agent.pool]
-        size = HTTP_HEAD + EMPTY_LIST + sum(roll.sizes[entry.server] for entry in entries)
-        self.books.count("discovery", "whole_lists" if kind is ListKind.FULL else "change_lists", size)
+        size = HTTP_HEAD + EMPTY_LIST + sum(roll.sizes[entry.server_id] for entry in entries)
+        self.books.count("discovery", "whole_lists" if kind is UpdateKind.SNAPSHOT else "change_lists", size)
         self.books.calls["discovery"]["lines"] += len(entries)
         lost = self.figures.lost and self.rng.random() < self.figures.lost
         if lost or not self.network.joined(agent.place, self.place):
@@ -171,7 +178,7 @@
             return
         self.work(0)
         self.books.count("discovery", "empty", HTTP_HEAD + EMPTY_LIST)
-        self.kernel.at(self.free_at, agent.answered, number, ListKind.CHANGES, (), agent.since)
+        self.kernel.at(self.free_at, agent.answered, number, UpdateKind.DELTA, (), agent.since)
 
     def stop(self) -> None:
         """It is silent; the watches on it hang."""
@@ -245,13 +252,13 @@
         if number == self.number:
             self.ask()
 
-    def answered(self, number: int, kind: ListKind, entries: tuple[ServerEntry, ...], version: int) -> None:
+    def answered(self, number: int, kind: UpdateKind, entries: tuple[Endpoint, ...], version: int) -> None:
         """News, or none in time; the watch goes on."""
         if number != self.number:
             return
         self.since = version
         self.heard += 1
-        if entries or kind is ListKind.FULL or self.heard == 1:
-            self.told(ServerList(kind, entries))
+        if entries or kind is UpdateKind.SNAPSHOT or self.heard == 1:
+            self.told(EndpointUpdate(kind, entries))
         self.number += 1
         self.kernel.after(0.0 if entries else 1000.0 * IDLE_GAP_S * 0.01, self.retry, self.number)
--- a/fleetlab/experiment.py
+++ b/quota_gateway/lab/simulation/experiment.py
@@ -28,7 +28,7 @@
 Range = tuple[Natural, Natural]
 
 MOST_BYTES = 12e9  # of memory that an experiment may need
-# Memory of a run, roughly, for the check of its size: see `gingerwheel lab slopes` for measured figures.
+# Memory of a run, roughly, for the check of its size: see `quota-gateway lab slopes` for measured figures.
 GATEWAY_BYTES, RECORD_BYTES, SERVER_BYTES, TENANT_BYTES = 30_000.0, 500.0, 2_000.0, 6_000.0
 TRY_BYTES = 3_000.0  # of a request until its deadline has passed
 MOST_REQUESTS = 20_000_000.0  # arrivals of one experiment; more would run for days
--- a/fleetlab/sim/faults.py
+++ b/quota_gateway/lab/simulation/fault_injection.py
@@ -6,17 +6,16 @@
 
 import structlog
 
-from heathglade.interface import ServerState
-
-from ..experiment import Fault
-from .kernel import START_MS, stream
-from .servers import Life, Server
+from quota_gateway.lab.simulation.experiment import Fault
+from quota_gateway.lab.simulation.scheduler import START_MS, stream
+from quota_gateway.lab.simulation.servers import Life, Server
+from quota_gateway.policy_api.endpoints import EndpointState
 
 if TYPE_CHECKING:
     from random import Random
 
-    from .clients import Tenant
-    from .world import World
+    from quota_gateway.lab.simulation.clients import Tenant
+    from quota_gateway.lab.simulation.simulation import World
 
 log = structlog.get_logger()
 
@@ -93,7 +92,7 @@
         """A server is gone; discovery hears of it late."""
         server.stop(life)
         server.drains_at = self.kernel.now
-        self.world.service.change(server.pool, server.entry(ServerState.GONE))
+        self.world.service.change(server.pool, server.entry(EndpointState.GONE))
 
     def back(self, server: Server) -> None:
         """A lost server is up again, cold."""
@@ -105,7 +104,7 @@
         if server.life is not Life.UP:
             return
         server.life, server.drains_at = Life.DRAINING, self.kernel.now
-        self.world.service.change(server.pool, server.entry(ServerState.DRAINING))
+        self.world.service.change(server.pool, server.entry(EndpointState.DRAINING))
         self.kernel.after(server.figures.drain_ms, self.drained, server)
         self.kernel.after(rng.uniform(*server.figures.start_ms), self.world.add_server, server)
 
@@ -113,7 +112,7 @@
         """The time to complete what it has is up."""
         self.world.books.rules["cut_by_drain"] += len(server.running) + len(server.line)
         server.stop(Life.DOWN)
-        self.world.service.change(server.pool, server.entry(ServerState.GONE))
+        self.world.service.change(server.pool, server.entry(EndpointState.GONE))
 
     def restarts(self, fault: Fault, rng: Random, lasts: float) -> None:
         """Gateways are killed and come back."""
--- a/fleetlab/sim/gateways.py
+++ b/quota_gateway/lab/simulation/gateways.py
@@ -9,40 +9,39 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from glenchute.__main__ import LIST_WAIT_S
-from glenchute.gateway import ANSWER_MARGIN_S
-from heathglade import Gateway
-from heathglade.interface import (
-    AttemptEnded,
-    Cancel,
-    Count,
-    CountReply,
-    Ending,
-    Event,
+from quota_gateway.lab.simulation.clients import Pool, Try
+from quota_gateway.lab.simulation.discovery import Agent
+from quota_gateway.lab.simulation.network import Place
+from quota_gateway.lab.simulation.scheduler import stream
+from quota_gateway.lab.simulation.servers import Job, Life, Server
+from quota_gateway.lab.simulation.wire_sizes import SERVED, call_get, incrttl
+from quota_gateway.network.__main__ import LIST_WAIT_S
+from quota_gateway.network.bridge import ANSWER_MARGIN_S
+from quota_gateway.policy.gateway import Gateway
+from quota_gateway.policy_api.actions import (
+    CancelAttempt,
     Fail,
-    ListKind,
-    Log,
-    Refuse,
-    Request,
-    RequestGone,
-    Send,
-    ServerList,
-    ServerState,
+    IncrementCounter,
+    LogEvent,
+    Reject,
     SetTimer,
-    Settings,
-    Subscribe,
+    StartAttempt,
+    WatchEndpoints,
+)
+from quota_gateway.policy_api.endpoints import EndpointState, EndpointUpdate, UpdateKind
+from quota_gateway.policy_api.events import (
+    AttemptCompleted,
+    CallOutcome,
+    ClientDisconnected,
+    CounterReply,
+    Event,
+    Request,
     TimerFired,
 )
-
-from .clients import Pool, Try
-from .discovery import Agent
-from .forms import SERVED, call_get, incrttl
-from .kernel import stream
-from .network import Place
-from .servers import Job, Life, Server
+from quota_gateway.settings import Settings
 
 if TYPE_CHECKING:
-    from .world import World
+    from quota_gateway.lab.simulation.simulation import World
 
 GONE_MS = 100.0  # an attempt that begins this long after the client has gone breaks a rule (letter)
 CALL_BYTES_BACK = 16
@@ -85,12 +84,12 @@
         self.starts: dict[str, float] = {}  # servers' starts that it was told of
         self.since = 0  # version of the list that it last had
         self.agent = Agent(
-            world.kernel, world.service, place, pool, settings.gateways, world.seed, index, self.told
+            world.kernel, world.service, place, pool, settings.gateway_count, world.seed, index, self.told
         )
 
     # --- life ---------------------------------------------------------------------------------------------
 
-    def start(self, saved: ServerList, since: int) -> None:
+    def start(self, saved: EndpointUpdate, since: int) -> None:
         """A process starts from nothing but its last list; version `since` of it."""
         self.life += 1
         self.alive = True
@@ -126,7 +125,7 @@
         known = self.world.service.list_at(self.pool_number, self.since)
         self.started_at = self.kernel.now
         self.ready_at = self.started_at + 1000.0 * LIST_WAIT_S
-        self.start(ServerList(ListKind.SAVED, known), self.since)
+        self.start(EndpointUpdate(UpdateKind.CACHED_SNAPSHOT, known), self.since)
 
     # --- events -------------------------------------------------------------------------------------------
 
@@ -140,21 +139,21 @@
         self.world.measured.add(type(event).__name__, self.last_ns)
         for action in actions:
             match action:
-                case Send():
+                case StartAttempt():
                     self.send(action)
                 case SetTimer(token, at_ms):
                     self.kernel.at(at_ms, self.timer, self.life, token)
-                case Count():
+                case IncrementCounter():
                     self.count(action)
-                case Refuse(request_id, retry_after_ms):
+                case Reject(request_id, retry_after_ms):
                     self.answer(request_id, "refused", retry_after_ms)
                 case Fail(request_id):
                     self.answer(request_id, "failed", 0.0)
-                case Cancel(request_id, number):
+                case CancelAttempt(request_id, number):
                     self.cancel(request_id, number)
-                case Log(message):
-                    self.books.logs[message.partition(" (")[0]] += 1
-                case Subscribe():
+                case LogEvent(name, fields):
+                    self.books.logs[f"{name} {dict(fields).get('state', '')}".rstrip()] += 1
+                case WatchEndpoints():
                     pass  # the watch runs from the start
 
     def timer(self, life: int, token: int) -> None:
@@ -162,17 +161,17 @@
         if life == self.life and self.alive:
             self.post(TimerFired(token))
 
-    def note(self, news: ServerList) -> None:
+    def note(self, news: EndpointUpdate) -> None:
         """Keeps when it was told what, for the rules on drains and cold starts."""
-        for entry in news.entries:
-            if entry.state is ServerState.ACTIVE:
-                self.leaving.pop(entry.server, None)
+        for entry in news.endpoints:
+            if entry.state is EndpointState.ACTIVE:
+                self.leaving.pop(entry.server_id, None)
                 if entry.started_ms:
-                    self.starts[entry.server] = entry.started_ms
+                    self.starts[entry.server_id] = entry.started_ms
             else:
-                self.leaving.setdefault(entry.server, self.kernel.now)
+                self.leaving.setdefault(entry.server_id, self.kernel.now)
 
-    def told(self, news: ServerList) -> None:
+    def told(self, news: EndpointUpdate) -> None:
         """Discovery has written news to it."""
         if not self.alive:
             return
@@ -180,7 +179,7 @@
             self.ready_at = min(self.ready_at, self.kernel.now)
             self.books.ready.add(1000.0 * (self.kernel.now - self.started_at))
         self.note(news)
-        if news.entries or news.kind is ListKind.FULL:
+        if news.endpoints or news.kind is UpdateKind.SNAPSHOT:
             self.post(news)
 
     def take(self, one: Try) -> None:
@@ -194,7 +193,7 @@
     def gone(self, one: Try) -> None:
         """The client left, or its time is up."""
         if self.held.pop(one.ref, None) is not None:
-            self.post(RequestGone(one.ref))
+            self.post(ClientDisconnected(one.ref))
 
     # --- answers ------------------------------------------------------------------------------------------
 
@@ -221,27 +220,27 @@
 
     # --- attempts -----------------------------------------------------------------------------------------
 
-    def send(self, action: Send) -> None:
+    def send(self, action: StartAttempt) -> None:
         """Starts an attempt, or ends it unsent."""
         one, now = self.held.get(action.request_id), self.kernel.now
         if one is None:
             self.books.rules["sent_without_request"] += 1
-            unsent = AttemptEnded(action.request_id, 0, action.server, Ending.UNSENT, 0.0, True)
+            unsent = AttemptCompleted(action.request_id, 0, action.server_id, CallOutcome.NOT_SENT, 0.0, True)
             self.kernel.after(0.0, self.post_if, self.life, unsent)
             return
         number, one.attempts = one.attempts, one.attempts + 1
-        server = self.world.servers[action.server]
+        server = self.world.servers[action.server_id]
         left = one.deadline - 1000.0 * ANSWER_MARGIN_S - now
         wait = min(left, action.timeout_ms) if action.timeout_ms > 0 else left
         if wait <= 0 or number >= self.settings.max_attempts or one.current is not None:
-            unsent = AttemptEnded(one.ref, number, server.name, Ending.UNSENT, 0.0, False)
+            unsent = AttemptCompleted(one.ref, number, server.name, CallOutcome.NOT_SENT, 0.0, False)
             self.kernel.after(0.0, self.post_if, self.life, unsent)
             return
         self.check_drain(server)
         if one.over and now - one.over_at > GONE_MS:
             self.books.rules["sent_after_client_left"] += 1
         attempt = one.current = Attempt(one, number, server, now)
-        self.kernel.after(wait, self.end, attempt, Ending.TIMEOUT)
+        self.kernel.after(wait, self.end, attempt, CallOutcome.TIMEOUT)
         self.dispatch(attempt)
 
     def dispatch(self, attempt: Attempt) -> None:
@@ -251,14 +250,14 @@
         delay = self.world.network.delay(self.place, server.place)
         if server.life is Life.VANISHED or delay is None:
             self.books.count("server", "unreachable")
-            self.kernel.after(figures.connect_ms, self.end, attempt, Ending.UNREACHABLE)
+            self.kernel.after(figures.connect_ms, self.end, attempt, CallOutcome.UNREACHABLE)
             return
         if now - self.used.get(server.name, -1e9) > figures.idle_ms:
             self.books.count("server", "handshakes")
             delay *= 3.0  # a connection comes up first: one round trip more
         self.used[server.name] = now
         if server.life is Life.DOWN:
-            self.kernel.after(2.0 * delay, self.end, attempt, Ending.UNREACHABLE)
+            self.kernel.after(2.0 * delay, self.end, attempt, CallOutcome.UNREACHABLE)
             return
         self.decide(one)
         if not one.sent:
@@ -276,17 +275,17 @@
         """The request has come to the server's machine."""
         if attempt.out and attempt.job is not None:
             if attempt.server.life is Life.DOWN:
-                self.back(attempt, self.life, Ending.RESET)
+                self.back(attempt, self.life, CallOutcome.RESET)
             else:
                 attempt.server.take(attempt.job)
 
-    def back(self, attempt: Attempt, life: int, ending: Ending) -> None:
+    def back(self, attempt: Attempt, life: int, ending: CallOutcome) -> None:
         """A server's answer leaves its machine."""
         delay = self.world.network.delay(attempt.server.place, self.place)
         if delay is not None and life == self.life:
             self.kernel.after(delay, self.end, attempt, ending)
 
-    def end(self, attempt: Attempt, ending: Ending) -> None:
+    def end(self, attempt: Attempt, ending: CallOutcome) -> None:
         """An attempt's one ending; a good answer goes to the client before the module hears of it."""
         if not attempt.out or not self.alive:
             return
@@ -295,23 +294,25 @@
         if one.current is attempt:
             one.current = None
         self.books.endings[ending.value] += 1
-        if ending in (Ending.TIMEOUT, Ending.CANCELLED) and attempt.job is not None:
+        if ending in (CallOutcome.TIMEOUT, CallOutcome.CANCELLED) and attempt.job is not None:
             attempt.server.drop(attempt.job)
         attempt.job = None  # which holds the attempt: no work for the collector of cycles
-        if ending is Ending.OK:
+        if ending is CallOutcome.OK:
             self.books.count("gateway", "values", SERVED + 24)
             if self.held.pop(one.ref, None) is not None and not one.over:
                 self.world.clients.answered(self.pool, one, "served")
         final = one.ref not in self.held
         self.post(
-            AttemptEnded(one.ref, attempt.number, attempt.server.name, ending, now - attempt.sent_at, final)
+            AttemptCompleted(
+                one.ref, attempt.number, attempt.server.name, ending, now - attempt.sent_at, final
+            )
         )
 
     def cancel(self, ref: str, number: int) -> None:
         """The module stops waiting."""
         one = self.held.get(ref)
         if one is not None and one.current is not None and one.current.number == number:
-            self.kernel.after(0.0, self.end, one.current, Ending.CANCELLED)
+            self.kernel.after(0.0, self.end, one.current, CallOutcome.CANCELLED)
 
     def post_if(self, life: int, event: Event) -> None:
         """An event for the process that it was meant for."""
@@ -329,18 +330,18 @@
 
     # --- the counter --------------------------------------------------------------------------------------
 
-    def count(self, action: Count) -> None:
+    def count(self, action: IncrementCounter) -> None:
         """A call to the counter; its one answer comes in time or as a time-out, those of a name in order."""
         counter, now = self.world.counter, self.kernel.now
-        place, part = counter.home(self.place.region, action.name)
-        self.books.count("counter", "calls", len(incrttl(action.name, action.amount, action.ttl_ms)))
-        pending = Pending(self, action.name, now, self.life)
-        self.replies.setdefault(action.name, deque()).append(pending)
-        self.kernel.after(self.settings.counter_timeout_ms, pending.end, Ending.TIMEOUT, 0.0)
+        place, part = counter.home(self.place.region, action.key)
+        self.books.count("counter", "calls", len(incrttl(action.key, action.amount, action.ttl_ms)))
+        pending = Pending(self, action.key, now, self.life)
+        self.replies.setdefault(action.key, deque()).append(pending)
+        self.kernel.after(self.settings.counter_timeout_ms, pending.end, CallOutcome.TIMEOUT, 0.0)
         delay = self.world.network.delay(self.place, place)
         if delay is not None:
-            back: Callable[[Ending, float], None] = partial(pending.back, place)
-            self.kernel.after(delay, counter.call, part, action.name, action.amount, action.ttl_ms, back)
+            back: Callable[[CallOutcome, float], None] = partial(pending.back, place)
+            self.kernel.after(delay, counter.call, part, action.key, action.amount, action.ttl_ms, back)
 
     def counted(self, name: int) -> None:
         """Hands on the answers for a name in the order of its calls (PROTOCOL)."""
@@ -350,7 +351,7 @@
             if not line:
                 del self.replies[name]
             self.books.count("counter", f"answered_{ending.value}", CALL_BYTES_BACK)
-            self.post(CountReply(name, one.total, ending, self.kernel.now - one.sent_at))
+            self.post(CounterReply(name, one.total, ending, self.kernel.now - one.sent_at))
 
 
 @dataclass(slots=True, eq=False)
@@ -361,16 +362,16 @@
     name: int
     sent_at: float
     life: int
-    ending: Ending | None = None
+    ending: CallOutcome | None = None
     total: float = 0.0
 
-    def back(self, place: Place, ending: Ending, total: float) -> None:
+    def back(self, place: Place, ending: CallOutcome, total: float) -> None:
         """The counter's answer leaves."""
         delay = self.gateway.world.network.delay(place, self.gateway.place)
         if delay is not None:
             self.gateway.kernel.after(delay, self.end, ending, total)
 
-    def end(self, ending: Ending, total: float) -> None:
+    def end(self, ending: CallOutcome, total: float) -> None:
         """The answer comes, or the time-out; the first counts."""
         if self.ending is None and self.life == self.gateway.life and self.gateway.alive:
             self.ending, self.total = ending, total
--- a/fleetlab/sim/network.py
+++ b/quota_gateway/lab/simulation/network.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from ..experiment import Network as Figures
-from .kernel import stream
+from quota_gateway.lab.simulation.experiment import Network as Figures
+from quota_gateway.lab.simulation.scheduler import stream
 
 
 @dataclass(frozen=True, slots=True)
--- a/fleetlab/sim/servers.py
+++ b/quota_gateway/lab/simulation/servers.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from heathglade.interface import Ending, ServerEntry, ServerState
-
-from ..experiment import Servers as Figures
-from .books import Books, Fall
-from .kernel import Kernel
-from .network import Place
+from quota_gateway.lab.simulation.experiment import Servers as Figures
+from quota_gateway.lab.simulation.metrics import Books, Fall
+from quota_gateway.lab.simulation.network import Place
+from quota_gateway.lab.simulation.scheduler import Kernel
+from quota_gateway.policy_api.endpoints import Endpoint, EndpointState
+from quota_gateway.policy_api.events import CallOutcome
 
 REJECT_MS = 0.05  # to turn a request away; BENCH: all work that reaches a server adds load
 
@@ -32,7 +32,7 @@
     """An attempt as a server sees it. `answer` takes its ending, at the server's door."""
 
     work_ms: float
-    answer: Callable[[Ending], None]
+    answer: Callable[[CallOutcome], None]
     told: bool = True  # the gateway has been told of the server's last start
     waiting: bool = False
     over: bool = False  # nobody waits for it any more
@@ -60,9 +60,9 @@
         self.serves = 0
         self.drains_at = -1.0  # when it began to drain or was gone, if it was
 
-    def entry(self, state: ServerState = ServerState.ACTIVE) -> ServerEntry:
+    def entry(self, state: EndpointState = EndpointState.ACTIVE) -> Endpoint:
         """As the list names it."""
-        return ServerEntry(self.name, self.place.zone, 0, 1.0, self.started_ms, state)
+        return Endpoint(self.name, self.place.zone, 0, 1.0, self.started_ms, state)
 
     def warmth(self) -> float:
         """Share of its capacity, which grows evenly in time (BENCH, "The world")."""
@@ -87,7 +87,7 @@
             len(self.running) >= self.figures.cores and len(self.line) >= self.figures.room
         ):
             self.busy_ms += REJECT_MS
-            job.answer(Ending.FULL)
+            job.answer(CallOutcome.REJECTED)
         elif self.life is Life.HUNG or len(self.running) >= self.figures.cores:
             job.waiting = True
             self.line.append(job)
@@ -130,7 +130,7 @@
         self.serves += 1
         if job.over:
             self.books.count("server", "wasted")
-        job.answer(Ending.OK)
+        job.answer(CallOutcome.OK)
         self.next()
 
     def next(self) -> None:
@@ -159,7 +159,7 @@
         self.life = life
         if life is Life.DOWN:
             for job in held:
-                job.answer(Ending.RESET)
+                job.answer(CallOutcome.RESET)
 
     def resume(self) -> None:
         """A hang is over."""
--- a/fleetlab/sim/world.py
+++ b/quota_gateway/lab/simulation/simulation.py
@@ -11,18 +11,18 @@
 
 import structlog
 
-from heathglade.interface import ListKind, Repeat, RequestClass, Safety, ServerList, Settings
-
-from ..experiment import Experiment, zones
-from .books import Books, Measured
-from .clients import Clients, Pool, plans, tenants
-from .counter import Counter
-from .discovery import Service
-from .faults import Faults
-from .gateways import HollowGateway
-from .kernel import START_MS, Kernel, stream
-from .network import Network, Place
-from .servers import Life, Server
+from quota_gateway.lab.simulation.clients import Clients, Pool, plans, tenants
+from quota_gateway.lab.simulation.counter import Counter
+from quota_gateway.lab.simulation.discovery import Service
+from quota_gateway.lab.simulation.experiment import Experiment, zones
+from quota_gateway.lab.simulation.fault_injection import Faults
+from quota_gateway.lab.simulation.gateways import HollowGateway
+from quota_gateway.lab.simulation.metrics import Books, Measured
+from quota_gateway.lab.simulation.network import Network, Place
+from quota_gateway.lab.simulation.scheduler import START_MS, Kernel, stream
+from quota_gateway.lab.simulation.servers import Life, Server
+from quota_gateway.policy_api.endpoints import EndpointUpdate, UpdateKind
+from quota_gateway.settings import Idempotency, RequestClass, Settings, SlowStartSettings
 
 TAIL_MS = 5000.0  # after the last arrival, until all is answered
 STEP_MS = 500.0  # between two words on the progress
@@ -108,21 +108,24 @@
         f = e.servers
         return Settings(
             zone=place.zone,
-            gateways=gateways,
-            classes=(RequestClass("valuacion", e.clients.aim_ms, 1.0, Repeat.SAFE),),
+            gateway_count=gateways,
+            classes=(RequestClass("valuacion", e.clients.aim_ms, 1.0, Idempotency.IDEMPOTENT),),
             plans=self.plans,
-            safety=Safety(f.cold_share, f.warm_ms, f.overload_factor, f.overload_ms),
+            slow_start=SlowStartSettings(f.cold_share, f.warm_ms, f.overload_factor, f.overload_ms),
             max_attempts=MAX_ATTEMPTS,
             max_retry_after_ms=MAX_RETRY_AFTER_MS,
-            counter=e.counter.on,
+            counter_enabled=e.counter.on,
             counter_timeout_ms=e.counter.timeout_ms,
-            number=number,
+            gateway_index=number,
         )
 
     def build_gateways(self) -> None:
         """Gateways belong to the pools in turn, and know of their pool's gateways and servers only."""
         total, count = self.experiment.fleet.gateways, len(self.pools)
-        lists = [ServerList(ListKind.SAVED, tuple(roll.entries.values())) for roll in self.service.rolls]
+        lists = [
+            EndpointUpdate(UpdateKind.CACHED_SNAPSHOT, tuple(roll.entries.values()))
+            for roll in self.service.rolls
+        ]
         for index in range(total):
             pool, number = index % count, index // count
             place = self.place(pool, number)
--- a/fleetlab/sim/forms.py
+++ b/quota_gateway/lab/simulation/wire_sizes.py
@@ -6,9 +6,9 @@
 from collections.abc import Iterable
 from typing import Any
 
-from heathglade.interface import ServerEntry, ServerState
+from quota_gateway.policy_api.endpoints import Endpoint, EndpointState
 
-STATES = {ServerState.ACTIVE: "Ready", ServerState.DRAINING: "Terminating", ServerState.GONE: "Gone"}
+STATES = {EndpointState.ACTIVE: "Ready", EndpointState.DRAINING: "Terminating", EndpointState.GONE: "Gone"}
 HTTP_CALL = len(
     b"GET /v1/servers?since=41000&timeout_ms=4000 HTTP/1.1\r\nHost: 10.2.0.1:8500\r\n"
     b"Accept: application/json\r\n\r\n"
@@ -34,26 +34,26 @@
     return command("INCRTTL", str(name), f"{amount:.3f}", f"{ttl_ms:.0f}")
 
 
-def row(entry: ServerEntry) -> dict[str, Any]:
+def row(entry: Endpoint) -> dict[str, Any]:
     """One server as discovery writes it."""
     return {
-        "id": entry.server,
+        "id": entry.server_id,
         "addr": "10.1.100.180:6379",
         "zone": entry.zone,
         "kind": "std-2c",
         "cell": entry.cell,
         "state": STATES[entry.state],
-        "weight": entry.size,
+        "weight": entry.weight,
         "started_ms": int(entry.started_ms),
     }
 
 
-def listing(entries: Iterable[ServerEntry], version: int, full: bool) -> bytes:
+def listing(entries: Iterable[Endpoint], version: int, full: bool) -> bytes:
     """A whole list, or changes to it."""
     rows = [row(entry) for entry in entries]
     return json.dumps({"version": version, "full": full, "servers": rows}, separators=(",", ":")).encode()
 
 
-def row_bytes(entry: ServerEntry) -> int:
+def row_bytes(entry: Endpoint) -> int:
     """Bytes of one server in a list, the comma included."""
     return len(json.dumps(row(entry), separators=(",", ":"))) + 1
--- a/glenchute/__main__.py
+++ b/quota_gateway/network/__main__.py
@@ -1,6 +1,6 @@
 """The program: reads its configuration, starts the parts, and ends on a signal.
 
-Run as ``python -m glenchute`` with EDGE_CONFIG naming the configuration.
+Run as ``python -m quota_gateway.network`` with EDGE_CONFIG naming the configuration.
 """
 
 from __future__ import annotations
@@ -17,16 +17,14 @@
 
 import uvloop
 
-from heathglade import Gateway as Policy
-from heathglade.interface import Settings
-from heathglade.simhost import num, settings
-
-from .clients import MOST_SPARE, Listener
-from .commands import Bounds, Catalogue, bounds
-from .counter import LINKS, Counter
-from .discovery import Discovery, ListError, News, address, read_list
-from .gateway import Decisions, Gateway
-from .servers import Limits, Servers, idle_s
+from quota_gateway.network.bridge import Decisions, Gateway
+from quota_gateway.network.client_connection import MOST_SPARE, Listener
+from quota_gateway.network.commands import Bounds, Catalogue, bounds
+from quota_gateway.network.counter_client import LINKS, Counter
+from quota_gateway.network.discovery.watch import Discovery, ListError, News, address, read_list
+from quota_gateway.network.server_pool import Limits, Servers, idle_s
+from quota_gateway.policy.gateway import Gateway as Policy
+from quota_gateway.settings import Settings, decode_settings, number_or
 
 LIST_WAIT_S = 0.3  # a start waits this long for the list of the day before it serves by the saved one
 ACCEPT_S = 0.5  # after SIGTERM new connections go on coming for up to 0.4 s
@@ -44,7 +42,7 @@
 
 # Plain text and no argument parser: there is nothing to parse, and importing one would slow every start.
 USAGE = """\
-usage: python -m glenchute
+usage: python -m quota_gateway.network
 
 One gateway: takes requests over RESP2, keeps customers' quotas over all gateways together, chooses a
 server and gives each request one answer. It takes no options; these variables configure it:
@@ -58,14 +56,14 @@
 to standard error. Exit status: 0 after a planned end, 1 if it can't start, 2 for a bad configuration or
 argument.
 
-To try it with stand-ins of servers, counter and discovery on loopback: gingerwheel demo
+To try it with stand-ins of servers, counter and discovery on loopback: quota-gateway demo
 """
 UNSET = (
     "EDGE_CONFIG is not set: set it to the path of the JSON configuration (see --help), "
-    "or run `gingerwheel demo` to try a gateway"
+    "or run `quota-gateway demo` to try a gateway"
 )
 
-log = logging.getLogger("glenchute")
+log = logging.getLogger("quota_gateway")
 
 
 @dataclass(frozen=True, slots=True)
@@ -131,26 +129,26 @@
 
 def build(raw: dict[str, Any], environ: dict[str, str]) -> Config:
     """The parts of the configuration, checked."""
-    made = settings(raw["settings"])
+    made = decode_settings(raw["settings"])
     if not made.classes or not made.plans:
         raise ListError("the settings name no classes or no plans")
     limits, safety = part(raw["settings"], "limits"), part(raw["settings"], "safety")
-    sockets = int(num(part(raw, "limits").get("sockets"), 1024))
+    sockets = int(number_or(part(raw, "limits").get("sockets"), 1024))
     if sockets < 64:
         raise ListError(f"{sockets} sockets are too few")
     return Config(
         name=str(raw.get("name") or environ.get("EDGE_NAME") or "gateway"),
         listen=address(raw.get("listen") or environ.get("EDGE_LISTEN")),
         discovery=address(raw.get("discovery") or environ.get("EDGE_DISCOVERY")),
-        counter=address(raw["counter"]) if raw.get("counter") and made.counter else None,
+        counter=address(raw["counter"]) if raw.get("counter") and made.counter_enabled else None,
         seed=int(str(raw.get("seed") or 0), 16),
         sockets=sockets,
         known=read_list(raw["known"], saved=True) if raw.get("known") else None,
         settings=made,
         limits=Limits(
-            connect_s=num(limits.get("connect_timeout_ms"), 250.0) / 1000.0,
-            idle_s=idle_s(num(limits.get("conn_idle_ms"), 15_000.0) / 1000.0),
-            grace_s=num(safety.get("drain_grace_ms"), 250.0) / 1000.0,
+            connect_s=number_or(limits.get("connect_timeout_ms"), 250.0) / 1000.0,
+            idle_s=idle_s(number_or(limits.get("conn_idle_ms"), 15_000.0) / 1000.0),
+            grace_s=number_or(safety.get("drain_grace_ms"), 250.0) / 1000.0,
             connections=budget(sockets).servers,
         ),
         bounds=bounds(raw["settings"]),
@@ -196,9 +194,9 @@
         self.listener = Listener(
             loop, self.gateway, Catalogue(made, config.bounds), shares.clients, shares.spare
         )
-        callers = made.gateways if made.subscribe else 0
+        callers = made.gateway_count if made.watch_required else 0
         self.discovery = Discovery(
-            loop, config.discovery, self.gateway.news, config.seed, callers, made.number
+            loop, config.discovery, self.gateway.news, config.seed, callers, made.gateway_index
         )
         self.stopping = asyncio.Event()
 
@@ -298,9 +296,9 @@
     if len(arguments) == 1 and arguments[0] in ("-h", "--help"):
         print(USAGE, end="")
     elif arguments == ["--version"]:
-        print(f"glenchute {VERSION}")
+        print(f"quota-gateway {VERSION}")
     else:
-        print(f"glenchute: unknown arguments {' '.join(arguments)!r} (see --help)", file=sys.stderr)
+        print(f"quota-gateway: unknown arguments {' '.join(arguments)!r} (see --help)", file=sys.stderr)
         return 2
     return 0
 
@@ -318,12 +316,12 @@
         environ = dict(os.environ)
         config = load(environ)
     except ConfigError as error:
-        print(f"glenchute: {error}", file=sys.stderr)
+        print(f"quota-gateway: {error}", file=sys.stderr)
         return 2
     try:
         uvloop.run(serve(config, environ, hangups))
     except OSError as error:
-        print(f"glenchute: can't start: {error}", file=sys.stderr)
+        print(f"quota-gateway: can't start: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/glenchute/gateway.py
+++ b/quota_gateway/network/bridge.py
@@ -17,17 +17,37 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from heathglade import interface as api
-
-from . import resp
-from .counter import Counter
-from .discovery import News
-from .servers import Attempt, Result, Servers
-
-log = logging.getLogger("glenchute")
+from quota_gateway.logfmt import format_event
+from quota_gateway.network import resp
+from quota_gateway.network.counter_client import Counter
+from quota_gateway.network.discovery.watch import News
+from quota_gateway.network.server_pool import Attempt, Result, Servers
+from quota_gateway.policy_api.actions import (
+    Action,
+    CancelAttempt,
+    Fail,
+    IncrementCounter,
+    LogEvent,
+    Reject,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from quota_gateway.policy_api.endpoints import EndpointState, EndpointUpdate, UpdateKind, split_update
+from quota_gateway.policy_api.events import (
+    AttemptCompleted,
+    CallOutcome,
+    ClientDisconnected,
+    CounterReply,
+    Event,
+    Request,
+    TimerFired,
+)
+
+log = logging.getLogger("quota_gateway")
 
 ANSWER_MARGIN_S = 0.01  # attempts end this long before the client's time does, so that the answer is in time
-DID_NOT_RUN = (api.Ending.FULL, api.Ending.UNREACHABLE, api.Ending.UNSENT)
+DID_NOT_RUN = (CallOutcome.REJECTED, CallOutcome.UNREACHABLE, CallOutcome.NOT_SENT)
 QUEUE_WORDS = (b"queue", b"waiting")
 ACTIVE_WORDS = (b"inflight", b"active")
 FIGURE = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
@@ -49,7 +69,7 @@
 class Decisions(Protocol):
     """The decision module, as far as the gateway needs it."""
 
-    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]: ...
+    def handle(self, now_ms: float, event: Event) -> list[Action]: ...
 
 
 @dataclass(slots=True)
@@ -120,13 +140,13 @@
         self.out: dict[tuple[str, int], Attempt] = {}  # attempts may outlive their requests
         self.started_ms: dict[str, float] = {}
         self.serial = 0
-        self.events: deque[api.Event] = deque()
+        self.events: deque[Event] = deque()
         self.draining = False
         self.leaving = False  # the process ends: nothing more is sent on
 
     # --- events in ---------------------------------------------------------------------------------------
 
-    def post(self, event: api.Event) -> None:
+    def post(self, event: Event) -> None:
         """Queues an event; hands it over unless one is being handled."""
         self.events.append(event)
         if self.draining:
@@ -138,15 +158,15 @@
         finally:
             self.draining = False
 
-    def hand_over(self, event: api.Event) -> None:
+    def hand_over(self, event: Event) -> None:
         """One event and its actions. A fault in either is logged and must not cost anybody the answer."""
         try:
             actions = self.decisions.handle(self.clock.now(), event)
         except Exception:
             log.exception("the decisions failed on %s", type(event).__name__)
-            if isinstance(event, api.Request | api.AttemptEnded):
+            if isinstance(event, Request | AttemptCompleted):
                 self.close_request(event.request_id)
-            elif isinstance(event, api.TimerFired):
+            elif isinstance(event, TimerFired):
                 self.set_timer(event.token, self.clock.now() + 250.0)  # or the module would never tick again
             return
         for action in actions:
@@ -154,7 +174,7 @@
                 self.perform(action)
             except Exception:
                 log.exception("carrying out %s failed", type(action).__name__)
-                if isinstance(action, api.Send | api.Refuse | api.Fail):
+                if isinstance(action, StartAttempt | Reject | Fail):
                     self.close_request(action.request_id)
 
     def take(self, call: Call, answer: Callable[[bytes], None]) -> Live:
@@ -169,7 +189,7 @@
             self.refuse(ref, 0.0)  # another gateway can serve it at once
             return live
         self.post(
-            api.Request(
+            Request(
                 ref, call.class_name, call.plan, call.customer, call.time_left_ms, call.units, call.spread
             )
         )
@@ -178,9 +198,9 @@
     def client_left(self, live: Live) -> None:
         """Nobody waits for the answer any more: what was not written yet is not sent on."""
         if self.forget(live):
-            self.post(api.RequestGone(live.ref))
+            self.post(ClientDisconnected(live.ref))
             if live.current is not None and not live.current.written:
-                live.current.stop(api.Ending.CANCELLED)
+                live.current.stop(CallOutcome.CANCELLED)
 
     def overdue(self, ref: str) -> None:
         """The client's time is up and the module has not answered: the gateway does."""
@@ -189,24 +209,24 @@
     def news(self, news: News) -> Iterator[None]:
         """The list changed. One of many servers is taken in by pieces, what is gone or drains first; other
         work may be done between them."""
-        for piece in api.pieces(news.event, list(self.servers.pools)):
+        for piece in split_update(news.event, list(self.servers.pools)):
             self.changed(piece, news.addresses)
             yield
 
-    def changed(self, event: api.ServerList, addresses: dict[str, tuple[str, int]]) -> None:
+    def changed(self, event: EndpointUpdate, addresses: dict[str, tuple[str, int]]) -> None:
         """Follows a list: the pools first, so that nothing is written where nothing may go."""
-        for entry in event.entries:
-            if entry.state is api.ServerState.ACTIVE:
-                anew = self.started_ms.get(entry.server, entry.started_ms) != entry.started_ms
-                self.started_ms[entry.server] = entry.started_ms
-                self.servers.listed(entry.server, addresses[entry.server], anew)
-            elif entry.state is api.ServerState.DRAINING:
-                self.servers.stopped(entry.server)
+        for entry in event.endpoints:
+            if entry.state is EndpointState.ACTIVE:
+                anew = self.started_ms.get(entry.server_id, entry.started_ms) != entry.started_ms
+                self.started_ms[entry.server_id] = entry.started_ms
+                self.servers.listed(entry.server_id, addresses[entry.server_id], anew)
+            elif entry.state is EndpointState.DRAINING:
+                self.servers.stopped(entry.server_id)
             else:
-                self.servers.gone(entry.server)
-                self.started_ms.pop(entry.server, None)  # its id never comes again
-        if event.kind in (api.ListKind.FULL, api.ListKind.SAVED):
-            listed = {entry.server for entry in event.entries}
+                self.servers.gone(entry.server_id)
+                self.started_ms.pop(entry.server_id, None)  # its id never comes again
+        if event.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED_SNAPSHOT):
+            listed = {entry.server_id for entry in event.endpoints}
             for server in [name for name in self.servers.pools if name not in listed]:
                 self.servers.gone(server)
             self.started_ms = {k: v for k, v in self.started_ms.items() if k in listed}
@@ -214,54 +234,54 @@
 
     # --- actions out -------------------------------------------------------------------------------------
 
-    def perform(self, action: api.Action) -> None:
+    def perform(self, action: Action) -> None:
         """Carries out one action."""
         match action:
-            case api.Send():
+            case StartAttempt():
                 self.send(action)
-            case api.Refuse(request_id, retry_after_ms):
+            case Reject(request_id, retry_after_ms):
                 self.refuse(request_id, retry_after_ms)
-            case api.Fail(request_id):
+            case Fail(request_id):
                 self.answer(request_id, resp.FAILED)
-            case api.Cancel(request_id, number):
+            case CancelAttempt(request_id, number):
                 attempt = self.out.get((request_id, number))
                 if attempt is not None:
-                    attempt.stop(api.Ending.CANCELLED)
-            case api.SetTimer(token, at_ms):
+                    attempt.stop(CallOutcome.CANCELLED)
+            case SetTimer(token, at_ms):
                 self.set_timer(token, at_ms)
-            case api.Count(name, amount, ttl_ms):
+            case IncrementCounter(name, amount, ttl_ms):
                 self.count(name, amount, ttl_ms)
-            case api.Subscribe():
+            case WatchEndpoints():
                 pass  # the watch runs from the start
-            case api.Log(message):
-                log.info("%s", message)
+            case LogEvent(event, fields):
+                log.info("%s", format_event(event, fields))
 
     def set_timer(self, token: int, at_ms: float) -> None:
         """Fires at the time or after; the loop's clock is coarse, and a timer must not come early."""
         delay = max(0.0, at_ms - self.clock.now()) / 1000.0
-        self.loop.call_later(delay + 0.001, self.post, api.TimerFired(token))
+        self.loop.call_later(delay + 0.001, self.post, TimerFired(token))
 
     def count(self, name: int, amount: float, ttl_ms: float) -> None:
         """Calls the counter."""
 
-        def done(total: float, ending: api.Ending, took_ms: float) -> None:
-            self.post(api.CountReply(name, total, ending, took_ms))
+        def done(total: float, ending: CallOutcome, took_ms: float) -> None:
+            self.post(CounterReply(name, total, ending, took_ms))
 
         if self.counter is None:
-            done(0.0, api.Ending.UNREACHABLE, 0.0)
+            done(0.0, CallOutcome.UNREACHABLE, 0.0)
         else:
             self.counter.call(name, amount, ttl_ms, done)
 
-    def send(self, action: api.Send) -> None:
+    def send(self, action: StartAttempt) -> None:
         """Starts an attempt, or ends it unsent where it must not go."""
-        ref, server = action.request_id, action.server
+        ref, server = action.request_id, action.server_id
         live = self.live.get(ref)
         number = live.attempts if live is not None else 0
         if live is not None:
             live.attempts += 1
         if live is None or live.current is not None:
             # Over, or another attempt is still out: two at once are not allowed here.
-            self.post(api.AttemptEnded(ref, number, server, api.Ending.UNSENT, 0.0, live is None))
+            self.post(AttemptCompleted(ref, number, server, CallOutcome.NOT_SENT, 0.0, live is None))
             return
         left = live.deadline - ANSWER_MARGIN_S - self.loop.time()
         wait = min(left, action.timeout_ms / 1000.0) if action.timeout_ms > 0 else left
@@ -273,8 +293,8 @@
 
             attempt = self.servers.attempt(server, live.call.encode, wait, done)
         if attempt is None:
-            ending = api.Ending.UNREACHABLE if wait > 0 else api.Ending.UNSENT
-            self.post(api.AttemptEnded(ref, number, server, ending, 0.0, False))
+            ending = CallOutcome.UNREACHABLE if wait > 0 else CallOutcome.NOT_SENT
+            self.post(AttemptCompleted(ref, number, server, ending, 0.0, False))
             return
         live.current = self.out[ref, number] = attempt
         attempt.start()
@@ -286,11 +306,11 @@
         if result.ending not in DID_NOT_RUN:
             live.may_have_run = True
         took_ms = 1000.0 * (self.loop.time() - attempt.started)
-        if result.ending is api.Ending.OK and result.value is not None:
+        if result.ending is CallOutcome.OK and result.value is not None:
             self.answer(live.ref, resp.bulk(result.value))
         queue, active = report(result.report)
         final = live.ref not in self.live
-        self.post(api.AttemptEnded(live.ref, number, server, result.ending, took_ms, final, queue, active))
+        self.post(AttemptCompleted(live.ref, number, server, result.ending, took_ms, final, queue, active))
 
     # --- final answers -----------------------------------------------------------------------------------
 
@@ -316,8 +336,8 @@
         if live is not None:
             self.refuse(ref, 0.0)
             if live.current is not None:
-                live.current.stop(api.Ending.CANCELLED)
-            self.post(api.RequestGone(ref))
+                live.current.stop(CallOutcome.CANCELLED)
+            self.post(ClientDisconnected(ref))
 
     def forget(self, live: Live) -> bool:
         """Takes a request off the books; False if it was off before."""
--- a/glenchute/clients.py
+++ b/quota_gateway/network/client_connection.py
@@ -11,12 +11,12 @@
 from collections import deque
 from typing import Any
 
-from . import resp
-from .commands import Catalogue, CommandError
-from .gateway import Gateway, Live
-from .kernel import hung_up, waits
+from quota_gateway.network import resp
+from quota_gateway.network.bridge import Gateway, Live
+from quota_gateway.network.commands import Catalogue, CommandError
+from quota_gateway.network.socket_poll import hung_up, waits
 
-log = logging.getLogger("glenchute")
+log = logging.getLogger("quota_gateway")
 
 MOST_PENDING = 64  # commands of one connection without a reply; more wait their turn
 TURN = 16  # commands that one connection may have carried out before others get their turn
--- a/glenchute/commands.py
+++ b/quota_gateway/network/commands.py
@@ -6,11 +6,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from heathglade.interface import Repeat, Settings
-from heathglade.simhost import num
-
-from . import resp
-from .gateway import Call
+from quota_gateway.network import resp
+from quota_gateway.network.bridge import Call
+from quota_gateway.settings import Idempotency, Settings, number_or
 
 MOST_FIELDS = 512  # bytes of the list of names and values
 CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
@@ -34,9 +32,9 @@
 
 def bounds(raw: dict[str, Any]) -> Bounds:
     """From the settings."""
-    waits = [num(row.get("hard_limit_ms")) for row in raw["profiles"]]
+    waits = [number_or(row.get("hard_limit_ms")) for row in raw["profiles"]]
     return Bounds(
-        units=num((raw.get("domain") or {}).get("max_units")) or 1e6,
+        units=number_or((raw.get("domain") or {}).get("max_units")) or 1e6,
         wait_ms=max(waits) if waits and min(waits) > 0 else 60_000.0,
     )
 
@@ -45,10 +43,10 @@
     """What a command may name, from the settings."""
 
     def __init__(self, settings: Settings, most: Bounds) -> None:
-        self.gateways = settings.gateways
+        self.gateways = settings.gateway_count
         self.bounds = most
         self.plans = {plan.name.encode(): plan.name for plan in settings.plans}
-        self.classes = {cls.name.encode(): (cls.name, cls.repeat) for cls in settings.classes}
+        self.classes = {cls.name.encode(): (cls.name, cls.idempotency) for cls in settings.classes}
 
     def call(self, words: list[bytes]) -> Call:
         """Checks a command and takes it apart, once."""
@@ -64,9 +62,9 @@
             raise CommandError("bad fields")
         fields, gap = split_fields(text)
         name, repeat = self.known(self.classes, fields, b"c", "class")
-        if (repeat is Repeat.SAFE) != (verb == b"CALL.GET"):
+        if (repeat is Idempotency.IDEMPOTENT) != (verb == b"CALL.GET"):
             raise CommandError("this class goes by the other command")
-        if (b"k" in fields or repeat is Repeat.KEYED) and WORD.fullmatch(fields.get(b"k", b"")) is None:
+        if (b"k" in fields or repeat is Idempotency.KEYED) and WORD.fullmatch(fields.get(b"k", b"")) is None:
             raise CommandError("no idempotency key")
         spread = whole(fields, b"spread", 1, self.gateways, 1)
         whole(fields, b"first", 0, self.gateways - 1, 0)
--- a/glenchute/counter.py
+++ b/quota_gateway/network/counter_client.py
@@ -11,9 +11,8 @@
 from collections import deque
 from collections.abc import Callable
 
-from heathglade.interface import Ending
-
-from . import resp
+from quota_gateway.network import resp
+from quota_gateway.policy_api.events import CallOutcome
 
 TOTAL = re.compile(rb"-?[0-9]{1,15}(\.[0-9]{1,15})?(e[+-]?[0-9]{1,2})?")
 MOST_TOTAL = 1e12
@@ -25,7 +24,7 @@
 CONNECT_S = 0.5
 BACKOFF_S = (0.05, 1.0)
 
-Done = Callable[[float, Ending, float], None]
+Done = Callable[[float, CallOutcome, float], None]
 
 
 class Call:
@@ -39,7 +38,7 @@
         self.name = name
         self.timer: asyncio.TimerHandle | None = None
 
-    def end(self, now: float, ending: Ending, total: float = 0.0) -> None:
+    def end(self, now: float, ending: CallOutcome, total: float = 0.0) -> None:
         """Tells the ending, if it has not been told."""
         done, self.done = self.done, None
         if self.timer is not None:
@@ -125,14 +124,14 @@
     def answered(self, reply: object) -> None:
         """The reply to the oldest call. Only the protocol's own forms say what became of it; after any other
         the amount counts as added and the connection as of no use."""
-        ending, total = Ending.TIMEOUT, 0.0
+        ending, total = CallOutcome.TIMEOUT, 0.0
         if self.calls[0].name is None:
             if reply != "PONG":
                 raise resp.ProtocolError("no answer to a ping")
         elif isinstance(reply, bytes) and TOTAL.fullmatch(reply) and abs(float(reply)) <= MOST_TOTAL:
-            ending, total = Ending.OK, float(reply)
+            ending, total = CallOutcome.OK, float(reply)
         elif isinstance(reply, resp.ReplyError) and (str(reply) == "BUSY" or str(reply)[:4] == "ERR "):
-            ending = Ending.FULL
+            ending = CallOutcome.REJECTED
         else:
             raise resp.ProtocolError("no total")
         self.proven, self.backoff = True, BACKOFF_S[0]
@@ -146,7 +145,7 @@
         else:
             self.heart.cancel()
         for call in calls:
-            call.end(self.loop.time(), Ending.TIMEOUT)  # it may have been added
+            call.end(self.loop.time(), CallOutcome.TIMEOUT)  # it may have been added
 
     def beat(self) -> None:
         """Keeps the connection from standing idle, and gives up one that has gone silent."""
@@ -171,7 +170,7 @@
         """A call for this name goes out elsewhere: the answers for one name must keep their order."""
         for call in self.calls:
             if call.name == name:
-                call.end(self.loop.time(), Ending.TIMEOUT)
+                call.end(self.loop.time(), CallOutcome.TIMEOUT)
 
     def close(self) -> None:
         """The end of the connection, for good."""
@@ -212,7 +211,7 @@
             self.leaving = [old for old in self.leaving if old.calls]
         call = Call(done, now, name)
         if not link.ready():
-            call.end(now, Ending.UNREACHABLE)  # nothing was written, so nothing was added
+            call.end(now, CallOutcome.UNREACHABLE)  # nothing was written, so nothing was added
             return
         call.timer = self.loop.call_later(self.timeout_s, self.expire, call, link)
         link.last_used = now
@@ -223,7 +222,7 @@
     def expire(self, call: Call, link: Link) -> None:
         """No answer in time. The call keeps its place in the line: its reply will still come, unless one that
         has no end stands before it."""
-        call.end(self.loop.time(), Ending.TIMEOUT)
+        call.end(self.loop.time(), CallOutcome.TIMEOUT)
         if link.parser.rest() and link.transport is not None:
             link.transport.abort()
 
--- a/glenchute/discovery.py
+++ b/quota_gateway/network/discovery/watch.py
@@ -27,7 +27,7 @@
 
 import h11
 
-from heathglade.interface import ListKind, ServerEntry, ServerList, ServerState
+from quota_gateway.policy_api.endpoints import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 
 TOLD_S = 6.0  # a change counts as told this long after discovery had it and could be reached ...
 MOVED_S = 4.0  # ... and this long after SIGHUP, where that moved discovery
@@ -53,12 +53,12 @@
 LONG_BODY = 128 * 1024  # a longer answer is read in steps, with other work in between
 STEP = 250  # servers in a step
 
-log = logging.getLogger("glenchute")
+log = logging.getLogger("quota_gateway")
 
 STATES = {
-    "Ready": ServerState.ACTIVE,
-    "Terminating": ServerState.DRAINING,
-    "Gone": ServerState.GONE,
+    "Ready": EndpointState.ACTIVE,
+    "Terminating": EndpointState.DRAINING,
+    "Gone": EndpointState.GONE,
 }
 
 
@@ -71,7 +71,7 @@
     """A list or changes to it, with the addresses, which only the transport needs."""
 
     version: int
-    event: ServerList
+    event: EndpointUpdate
     addresses: dict[str, tuple[str, int]] = field(default_factory=dict)
 
 
@@ -83,19 +83,19 @@
     return host, int(port)
 
 
-def entry(row: dict[str, Any]) -> ServerEntry:
+def entry(row: dict[str, Any]) -> Endpoint:
     """One server. A state that is not known is read as draining: nothing new goes there."""
-    return ServerEntry(
-        server=str(row["id"]),
+    return Endpoint(
+        server_id=str(row["id"]),
         zone=str(row.get("zone", "")),
         cell=int(row.get("cell") or 0),
-        size=float(row.get("weight") or 1.0),
+        weight=float(row.get("weight") or 1.0),
         started_ms=float(row.get("started_ms") or 0.0),
-        state=STATES.get(str(row.get("state")), ServerState.DRAINING),
+        state=STATES.get(str(row.get("state")), EndpointState.DRAINING),
     )
 
 
-def collect(row: dict[str, Any], entries: list[ServerEntry], addresses: dict[str, tuple[str, int]]) -> None:
+def collect(row: dict[str, Any], entries: list[Endpoint], addresses: dict[str, tuple[str, int]]) -> None:
     """Adds a server of a list."""
     entries.append(entry(row))
     if row.get("addr"):
@@ -103,21 +103,23 @@
 
 
 def whole(
-    version: Any, kind: ListKind, entries: list[ServerEntry], addresses: dict[str, tuple[str, int]]
+    version: Any, kind: UpdateKind, entries: list[Endpoint], addresses: dict[str, tuple[str, int]]
 ) -> News:
     """The list of these servers; ListError where one that takes work has no address."""
     for one in entries:
-        if one.state is ServerState.ACTIVE and one.server not in addresses:
-            raise ListError(f"no address for {one.server}")
-    return News(int(version), ServerList(kind, tuple(entries)), addresses)
+        if one.state is EndpointState.ACTIVE and one.server_id not in addresses:
+            raise ListError(f"no address for {one.server_id}")
+    return News(int(version), EndpointUpdate(kind, tuple(entries)), addresses)
 
 
 def read_list(raw: Any, saved: bool = False) -> News:
     """Discovery's form of the list, in the module's terms; ListError where it is something else."""
-    entries: list[ServerEntry] = []
+    entries: list[Endpoint] = []
     addresses: dict[str, tuple[str, int]] = {}
     try:
-        kind = ListKind.SAVED if saved else ListKind.FULL if raw["full"] else ListKind.CHANGES
+        kind = (
+            UpdateKind.CACHED_SNAPSHOT if saved else UpdateKind.SNAPSHOT if raw["full"] else UpdateKind.DELTA
+        )
         for row in raw["servers"]:
             collect(row, entries, addresses)
         return whole(raw["version"], kind, entries, addresses)
@@ -135,7 +137,7 @@
         self.body = body
         self.text, self.at = "", 0
         self.members: dict[str, Any] = {}
-        self.entries: list[ServerEntry] = []
+        self.entries: list[Endpoint] = []
         self.addresses: dict[str, tuple[str, int]] = {}
 
     def steps(self) -> Iterator[None]:
@@ -149,7 +151,7 @@
     def news(self) -> News:
         """The list, once all steps are done."""
         try:
-            kind = ListKind.FULL if self.members["full"] else ListKind.CHANGES
+            kind = UpdateKind.SNAPSHOT if self.members["full"] else UpdateKind.DELTA
             if "servers" not in self.members:
                 raise ListError("no servers")
             return whole(self.members["version"], kind, self.entries, self.addresses)
@@ -434,7 +436,7 @@
 
     def checked(self, news: News) -> News:
         """What can be used of an answer: changes need a list that they change."""
-        if self.since is None and news.event.kind is not ListKind.FULL:
+        if self.since is None and news.event.kind is not UpdateKind.SNAPSHOT:
             raise ListError("changes to no list")
         return news
 
@@ -445,13 +447,13 @@
 
     def heard(self, news: News) -> Iterable[None]:
         """Tells on what is new, in pieces."""
-        if self.since is None or news.event.entries or news.event.kind is ListKind.FULL:
+        if self.since is None or news.event.endpoints or news.event.kind is UpdateKind.SNAPSHOT:
             return self.tell(news)
         return ()
 
     def next(self, news: News) -> None:
         """The next call goes on from this version."""
-        at_once = not news.event.entries and self.loop.time() - self.asked < IDLE_GAP_S
+        at_once = not news.event.endpoints and self.loop.time() - self.asked < IDLE_GAP_S
         self.since, self.backoff = news.version, BACKOFF_S[0]
         self.current()
         self.expect(IDLE_GAP_S if at_once else 0.0, self.ask)
--- a/glenchute/servers.py
+++ b/quota_gateway/network/server_pool.py
@@ -12,10 +12,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from heathglade.interface import Ending
-
-from . import resp
-from .kernel import waits
+from quota_gateway.network import resp
+from quota_gateway.network.socket_poll import waits
+from quota_gateway.policy_api.events import CallOutcome
 
 GRACE_MARGIN_S = 0.05  # a write this close to a drain's end might leave the machine after it
 IDLE_MARGIN_S = 2.0  # idle connections are closed this long before the server would do so
@@ -47,7 +46,7 @@
 class Result:
     """How an attempt ended; `sound` where the connection can be used again."""
 
-    ending: Ending
+    ending: CallOutcome
     value: bytes | None = None
     report: bytes | None = None
     sound: bool = False
@@ -57,16 +56,16 @@
     """A server's reply as PROTOCOL's table reads it. Only the exact forms count: what was spoilt on its way
     has run, so it must neither be served nor pass for a request that never ran."""
     if isinstance(reply, list) and len(reply) == 3 and isinstance(reply[0], bytes):
-        return Result(Ending.OK, reply[0], reply[2] if isinstance(reply[2], bytes) else None, True)
+        return Result(CallOutcome.OK, reply[0], reply[2] if isinstance(reply[2], bytes) else None, True)
     if isinstance(reply, resp.ReplyError):
         text, _, last = str(reply).rpartition(" ")
         report = last.encode() if LOAD.fullmatch(last) else None
         if report is None:
             text = str(reply)
         if text == "BUSY":
-            return Result(Ending.FULL, None, report, True)
-        return Result(Ending.ERROR, None, report, text == "ERR failed")
-    return Result(Ending.ERROR)
+            return Result(CallOutcome.REJECTED, None, report, True)
+        return Result(CallOutcome.ERROR, None, report, text == "ERR failed")
+    return Result(CallOutcome.ERROR)
 
 
 class Connection(asyncio.Protocol):
@@ -106,7 +105,7 @@
             return
         result = classify(reply)
         sound = result.sound and not self.parser.rest()
-        if not sound and result.ending is not Ending.OK:
+        if not sound and result.ending is not CallOutcome.OK:
             self.spoilt()
             return
         self.attempt = None
@@ -119,7 +118,7 @@
     def spoilt(self) -> None:
         """What came is no answer, but the request may have run."""
         if self.attempt is not None and self.attempt.result is None:
-            self.attempt.result = Result(Ending.ERROR)
+            self.attempt.result = Result(CallOutcome.ERROR)
         self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -131,7 +130,7 @@
             # uvloop closes the socket only after this call. The ending may start another attempt, which must
             # not reach a server while this one is still out, so it is told in the loop's next round.
             # The request was handed to the kernel whole, or may have been: reset, never "did not run".
-            result = attempt.result or Result(Ending.RESET)
+            result = attempt.result or Result(CallOutcome.RESET)
             self.pool.servers.loop.call_soon(attempt.finish, result)
 
     def abort(self) -> None:
@@ -237,12 +236,12 @@
     def start(self) -> None:
         """Writes at once on an idle connection, else opens one."""
         servers = self.pool.servers
-        self.timer = servers.loop.call_at(self.until, self.stop, Ending.TIMEOUT)
+        self.timer = servers.loop.call_at(self.until, self.stop, CallOutcome.TIMEOUT)
         conn = self.pool.take()
         if conn is not None:
             self.write(conn)
         elif not servers.make_room():
-            self.finish(Result(Ending.UNREACHABLE))
+            self.finish(Result(CallOutcome.UNREACHABLE))
         else:
             servers.connecting += 1
             self.task = servers.loop.create_task(self.connect())
@@ -265,7 +264,7 @@
             conn.abort()  # came up too late: its request has an ending already and must not be written
         elif pool.stop_at is not None and servers.loop.time() > pool.stop_at:
             conn.abort()  # the drain's grace ended while this connection came up
-            self.finish(Result(Ending.UNREACHABLE))
+            self.finish(Result(CallOutcome.UNREACHABLE))
         else:
             self.write(conn)
 
@@ -276,7 +275,7 @@
         left = int(1000.0 * (self.until - self.pool.servers.loop.time()))
         if left < 1 or conn.transport is None or conn.transport.is_closing():
             conn.abort()
-            self.finish(Result(Ending.UNREACHABLE))
+            self.finish(Result(CallOutcome.UNREACHABLE))
             return
         self.conn, self.written = conn, True
         conn.attempt = self
@@ -285,7 +284,7 @@
     def no_connection(self) -> None:
         """The connection was refused or did not come up in time."""
         self.drop_connect()
-        self.finish(Result(Ending.UNREACHABLE))
+        self.finish(Result(CallOutcome.UNREACHABLE))
 
     def drop_connect(self) -> None:
         """Gives up a connection that is coming up."""
@@ -293,16 +292,18 @@
             self.task.cancel()
         self.task = None
 
-    def stop(self, ending: Ending) -> None:
+    def stop(self, ending: CallOutcome) -> None:
         """A time-out or a cancel. The ending is told once the connection is closed."""
         if self.ended or self.result is not None:
             return
         if self.conn is None:
             self.drop_connect()
             # Nothing was written: it can't have run. A cancel says nothing of the server.
-            self.finish(Result(Ending.UNREACHABLE if ending is Ending.TIMEOUT else Ending.UNSENT))
+            self.finish(
+                Result(CallOutcome.UNREACHABLE if ending is CallOutcome.TIMEOUT else CallOutcome.NOT_SENT)
+            )
         else:
-            if ending is Ending.TIMEOUT:
+            if ending is CallOutcome.TIMEOUT:
                 # A machine that vanished says nothing, and resets what it finds open once it is back. Its
                 # other connections, unused for as long as this attempt, would then turn requests that never
                 # ran into resets, after which an unsafe one can't be tried again.
--- a/heathglade/policy.py
+++ b/quota_gateway/policy/gateway.py
@@ -1,4 +1,4 @@
-"""The decisions of heathglade. The types it takes and returns are in `heathglade/interface.py`.
+"""The decisions of a gateway. The types it takes and returns are in `quota_gateway.policy_api`.
 
 A gateway serves many customers, whose quotas hold over all gateways together. `Quota` decides how much of a
 customer's demand goes on, `Fleet` which server gets it, and `Gateway` follows each request to its one final
@@ -16,33 +16,28 @@
 from collections.abc import Hashable, Iterable
 from dataclasses import dataclass, field
 
-from .interface import (
+from quota_gateway.policy_api.actions import (
     Action,
-    AnswerBegan,
-    AttemptEnded,
-    Count,
-    CountReply,
-    Ending,
-    Event,
     Fail,
-    ListKind,
-    Log,
-    Plan,
-    Refuse,
-    Repeat,
-    Request,
-    RequestClass,
-    RequestGone,
-    Scope,
-    Send,
-    ServerEntry,
-    ServerList,
-    ServerState,
+    IncrementCounter,
+    LogEvent,
+    Reject,
     SetTimer,
-    Settings,
-    Subscribe,
+    StartAttempt,
+    WatchEndpoints,
+)
+from quota_gateway.policy_api.endpoints import Endpoint, EndpointState, EndpointUpdate, UpdateKind
+from quota_gateway.policy_api.events import (
+    AttemptCompleted,
+    CallOutcome,
+    ClientDisconnected,
+    CounterReply,
+    Event,
+    Request,
+    ResponseStarted,
     TimerFired,
 )
+from quota_gateway.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
 WINDOW_S = 1.0  # the fill's window: what a store holds is offered to the demand of this long
 SPEND_S = 0.4
@@ -76,7 +71,7 @@
 FORGIVEN = 0.01  # share of failures below which a server counts as sound again
 GOLDEN = 0.5 * (math.sqrt(5.0) - 1.0)
 TICK_MS = 250.0  # how often pressure is judged and held requests are looked at
-DID_NOT_RUN = (Ending.FULL, Ending.UNREACHABLE, Ending.UNSENT)
+DID_NOT_RUN = (CallOutcome.REJECTED, CallOutcome.UNREACHABLE, CallOutcome.NOT_SENT)
 
 
 @dataclass(slots=True)
@@ -146,21 +141,21 @@
     @property
     def mute(self) -> bool:
         """No word from the counter: each gateway keeps to its part of the quota."""
-        return not self.settings.counter or self.missed >= MUTE_AFTER
+        return not self.settings.counter_enabled or self.missed >= MUTE_AFTER
 
     def customer(self, now: float, request: Request) -> Customer | None:
         """The customer's record; None where the plan is not known, which is read as no quota."""
         if (plan := self.plans.get(request.plan)) is None:
             return None
         found = self.customers.pop(request.customer, None)
-        spread = max(1, min(request.spread, self.settings.gateways))
+        spread = max(1, min(request.customer_gateways, self.settings.gateway_count))
         if found is None:
             # The ceiling's store takes no notice of a restart. While quotas are kept it never holds less than
             # its burst less the quota's, as it fills faster; half of that and the slack are thus there if all
             # gateways restart at once, and once more before the store has filled again.
-            spare = 0.5 * max(0.0, plan.ceiling_burst - plan.burst) if plan.burst else 0.0
-            spare += plan.ceiling_slack + plan.ceiling_rate * (now - self.started) / 1000.0
-            guard = min(plan.ceiling_burst * (1.0 - COUNTED), spare) / spread
+            spare = 0.5 * max(0.0, plan.hard_limit_burst - plan.burst) if plan.burst else 0.0
+            spare += plan.hard_limit_slack + plan.hard_limit_rate * (now - self.started) / 1000.0
+            guard = min(plan.hard_limit_burst * (1.0 - COUNTED), spare) / spread
             found = Customer(request.customer, plan, spread, now, plan.burst, plan.burst, 0.0, guard, now)
             found.part = self.part(found)
             found.phase = stable(request.customer) / 2.0**63
@@ -198,16 +193,16 @@
         drain = min(drain * min(dt, WINDOW_S), c.store)
         c.most = min(max(c.most, plan.burst), c.most + plan.rate * dt)
         c.store = min(max(c.store, plan.burst), c.store - drain + plan.rate * dt)
-        rate = (plan.rate or OPEN_FILL * plan.max_open / self.hold_s) * self.lot(c)
+        rate = (plan.rate or OPEN_FILL * plan.max_in_flight / self.hold_s) * self.lot(c)
         c.part = min(max(c.part, self.part(c)), c.part + rate * dt)
-        most = max(plan.ceiling_burst * (1.0 - COUNTED) / c.spread, c.guard)
-        c.guard = min(most, c.guard + plan.ceiling_rate * (1.0 - 0.5 * COUNTED) / c.spread * dt)
+        most = max(plan.hard_limit_burst * (1.0 - COUNTED) / c.spread, c.guard)
+        c.guard = min(most, c.guard + plan.hard_limit_rate * (1.0 - 0.5 * COUNTED) / c.spread * dt)
         c.own *= math.exp(-dt / WINDOW_S)
         c.at = now
 
     def part(self, c: Customer) -> float:
         """The most that this gateway's part of a store holds."""
-        return max((c.plan.burst or c.plan.max_open) * self.lot(c), LEAST_PART * c.size)
+        return max((c.plan.burst or c.plan.max_in_flight) * self.lot(c), LEAST_PART * c.size)
 
     def lot(self, c: Customer) -> float:
         """This gateway's lot of a quota while no word comes: an even one, moved towards the share of the
@@ -219,8 +214,8 @@
     def room(self, c: Customer) -> float:
         """What the customer's quotas are thought to let in at once, in units or attempts."""
         left = c.store if c.plan.rate else math.inf
-        if c.plan.max_open:
-            left = min(left, c.plan.max_open - c.open - c.others * self.hold_s)
+        if c.plan.max_in_flight:
+            left = min(left, c.plan.max_in_flight - c.open - c.others * self.hold_s)
         return left
 
     def unsure(self, now: float, c: Customer, units: float) -> bool:
@@ -232,7 +227,7 @@
         empty = c.plan.rate and c.most < units  # whatever the others did
         return (max(0.0, c.fresh) + units) * c.spread >= 0.5 * room and not empty
 
-    def ask(self, now: float, c: Customer, request: Request) -> Count | None:
+    def ask(self, now: float, c: Customer, request: Request) -> IncrementCounter | None:
         """The call that an unsure request waits for; of a crowd only a share ask, each for its likes."""
         if self.rng.random() > self.share:
             return None
@@ -241,7 +236,7 @@
     def assured(self, c: Customer, asked: bool) -> bool:
         """Whether the count alone keeps a request under the ceiling: what it lets in it takes from the store,
         whose burst has to fit into the counted share of the ceiling's."""
-        return asked and 0.0 < c.plan.burst <= COUNTED * c.plan.ceiling_burst + c.plan.ceiling_slack
+        return asked and 0.0 < c.plan.burst <= COUNTED * c.plan.hard_limit_burst + c.plan.hard_limit_slack
 
     def admit(self, now: float, c: Customer, units: float, asked: bool, blind: bool) -> float | None:
         """None to send the request on, else the time in which a refused client should stay away."""
@@ -249,8 +244,8 @@
         c.own += units / WINDOW_S
         plan = c.plan
         wait: float | None = None
-        if plan.ceiling_rate and c.guard < units and not self.assured(c, asked):
-            wait = (units - c.guard) / plan.ceiling_rate * c.spread * 1000.0
+        if plan.hard_limit_rate and c.guard < units and not self.assured(c, asked):
+            wait = (units - c.guard) / plan.hard_limit_rate * c.spread * 1000.0
         elif plan.rate:
             store = min(max(c.part, self.spare(now, c)), c.store) if blind else c.store
             fraction = min(1.0, (plan.rate + max(0.0, store) / SPEND_S) / max(c.own + c.others, 1e-9))
@@ -268,12 +263,12 @@
             if asked:
                 room = self.with_room.get(plan.name, 1.0)
                 self.with_room[plan.name] = room + WITH_ROOM * ((wait is None) - room)
-        if wait is None and plan.max_open:
+        if wait is None and plan.max_in_flight:
             # The cap, as a rate: what leaves as fast as answers come. Of more demand its share goes on.
-            fraction = OPEN_FILL * plan.max_open / max((c.own + c.others) * self.hold_s, 1e-9)
-            full = c.open >= max(1, plan.max_open // c.spread) and self.room(c) < 1.0
+            fraction = OPEN_FILL * plan.max_in_flight / max((c.own + c.others) * self.hold_s, 1e-9)
+            full = c.open >= max(1, plan.max_in_flight // c.spread) and self.room(c) < 1.0
             if blind:
-                full = c.part < units and c.open >= plan.max_open // c.spread
+                full = c.part < units and c.open >= plan.max_in_flight // c.spread
             if self.rng.random() > fraction if asked else full:
                 wait = self.hold_s * 1000.0
         return wait
@@ -299,13 +294,13 @@
         c.part = max(0.0, c.part - units)
         if not self.assured(c, asked):
             c.guard -= units
-        if self.settings.counter and not counted:
+        if self.settings.counter_enabled and not counted:
             c.fresh += units
             self.due[c.key] = c
 
     def call(
         self, now: float, c: Customer, asked: float = 0.0, waits: str | None = None, mended: float = 0.0
-    ) -> Count:
+    ) -> IncrementCounter:
         """A call that tells what is new of a customer."""
         amount = round(c.fresh + asked + mended, 3)
         self.calls_out.setdefault(c.name, deque()).append(Call(c, c.window, amount, asked, waits, mended))
@@ -313,8 +308,8 @@
         c.fresh, c.called_at = 0.0, now
         c.under_way += 1
         if self.missed >= MUTE_AFTER:
-            self.probe_at = now + max(MUTE_RETRY_MS, self.settings.gateways * MUTE_SPACING_MS)
-        return Count(c.name, amount, IDLE_MS)
+            self.probe_at = now + max(MUTE_RETRY_MS, self.settings.gateway_count * MUTE_SPACING_MS)
+        return IncrementCounter(c.name, amount, IDLE_MS)
 
     def calls(self, now: float, c: Customer) -> list[Action]:
         """Tells the counter what is new of a customer, the sooner the nearer its store is to empty."""
@@ -330,13 +325,13 @@
             return []
         return [self.call(now, c)]
 
-    def counted(self, now: float, reply: CountReply) -> tuple[str | None, list[Action]]:
+    def counted(self, now: float, reply: CounterReply) -> tuple[str | None, list[Action]]:
         """An answer. Returns the request that waits for it, and what else is to be done."""
-        if not (calls := self.calls_out.get(reply.name)):
+        if not (calls := self.calls_out.get(reply.key)):
             return None, []
         call = calls.popleft()
         if not calls:
-            del self.calls_out[reply.name]
+            del self.calls_out[reply.key]
         c = call.customer
         self.refresh(now, c)
         current = call.window == c.window
@@ -345,18 +340,18 @@
         if current:
             c.under_way -= 1
             c.flying -= call.amount - call.asked
-        if reply.ending is not Ending.OK:
+        if reply.outcome is not CallOutcome.OK:
             if self.missed < MUTE_AFTER:  # a mute counter is no crowd; it is tried at a pace of its own
                 self.share = max(LEAST_SHARE, 0.8 * self.share)
             self.missed += 1
-            if current and reply.ending is Ending.TIMEOUT:
+            if current and reply.outcome is CallOutcome.TIMEOUT:
                 c.mine += call.amount  # it may have been added, and adding it twice would be worse
             elif current:
                 c.fresh += call.amount - call.asked - call.mended
             return call.waits, []
         self.missed = 0
         # A slow answer tells of a crowd before any call is turned away; work on unheard answers is wasted.
-        factor = 1.02 if reply.took_ms < 0.5 * self.settings.counter_timeout_ms else 0.92
+        factor = 1.02 if reply.duration_ms < 0.5 * self.settings.counter_timeout_ms else 0.92
         self.share = min(1.0, max(LEAST_SHARE, factor * self.share))
         return call.waits, self.heard(now, c, call, reply.total) if current else []
 
@@ -406,7 +401,7 @@
         mend = (again and astray > MEND * plan.burst) or astray < -plan.burst
         return [self.claim(c, astray)] if mend and not c.claiming else []
 
-    def claim(self, c: Customer, astray: float) -> Count:
+    def claim(self, c: Customer, astray: float) -> IncrementCounter:
         """Asks for the right to put a count right. All that hear a wrong one find it so in the time that a
         call takes; each adding the whole of what is missing would leave it further astray. A name of its
         own, which lives until the first one's correction has been heard by all, lets one alone do so."""
@@ -414,13 +409,13 @@
         claim = Call(c, c.window, 1.0, mended=astray, claim=True)
         self.calls_out.setdefault(name, deque()).append(claim)
         c.claiming = True
-        return Count(name, 1.0, MEND_TIMES * self.settings.counter_timeout_ms)
+        return IncrementCounter(name, 1.0, MEND_TIMES * self.settings.counter_timeout_ms)
 
-    def claimed(self, now: float, call: Call, reply: CountReply) -> list[Action]:
+    def claimed(self, now: float, call: Call, reply: CounterReply) -> list[Action]:
         """Puts the count right if no other gateway was first. What it was astray by still holds: only use has
         been added since."""
         call.customer.claiming = False
-        first = reply.ending is Ending.OK and reply.total < 1.5
+        first = reply.outcome is CallOutcome.OK and reply.total < 1.5
         return [self.call(now, call.customer, mended=call.mended)] if first else []
 
     def forget_idle(self, now: float) -> None:
@@ -442,7 +437,7 @@
 class Server:
     """What this gateway knows of one server."""
 
-    entry: ServerEntry
+    entry: Endpoint
     out: int = 0  # own attempts under way
     pace: float = 1.0  # time of answers against the fleet's mean for the same kind of request
     fails: float = 0.0  # recent share of failures, fading
@@ -468,7 +463,7 @@
 
     def add(self, server: Server) -> None:
         """Puts a server in, or another process of its name in its place."""
-        place = self.places.setdefault(server.entry.server, len(self.members))
+        place = self.places.setdefault(server.entry.server_id, len(self.members))
         if place == len(self.members):
             self.members.append(server)
         self.members[place] = server
@@ -480,7 +475,7 @@
         last = self.members.pop()
         if place < len(self.members):
             self.members[place] = last
-            self.places[last.entry.server] = place
+            self.places[last.entry.server_id] = place
 
     def draw(self, rng: random.Random) -> list[Server]:
         """A few, all of them where there are no more."""
@@ -499,16 +494,16 @@
         """Puts a server in, at once or when it is warm."""
         entry = server.entry
         if warm_at > now:
-            heapq.heappush(self.warming, (warm_at, entry.server, entry.started_ms))
+            heapq.heappush(self.warming, (warm_at, entry.server_id, entry.started_ms))
             return
         for group in (None, entry.zone, (entry.zone, entry.cell)):
             self.groups.setdefault(group, Sampled()).add(server)
 
-    def discard(self, entry: ServerEntry) -> None:
+    def discard(self, entry: Endpoint) -> None:
         """Takes a server out, wherever it is."""
         for group in (None, entry.zone, (entry.zone, entry.cell)):
             if found := self.groups.get(group):
-                found.discard(entry.server)
+                found.discard(entry.server_id)
                 if not found.members:
                     del self.groups[group]
 
@@ -520,9 +515,15 @@
             if server is not None and not server.kept and server.entry.started_ms == started:
                 self.add(server, now, now)
 
-    def draw(self, rng: random.Random, home: ServerEntry | None, scope: Scope) -> list[Server]:
+    def draw(self, rng: random.Random, home: Endpoint | None, scope: DeduplicationScope) -> list[Server]:
         """A few that an attempt may go to."""
-        group = None if home is None else home.zone if scope is Scope.ZONE else (home.zone, home.cell)
+        group = (
+            None
+            if home is None
+            else home.zone
+            if scope is DeduplicationScope.ZONE
+            else (home.zone, home.cell)
+        )
         found = self.groups.get(group)
         return found.draw(rng) if found else []
 
@@ -547,18 +548,18 @@
         self.rate = 0.0  # units that a warm server answers to this gateway in a second
         self.recent, self.rated_at = 0.0, 0.0  # the same with the last answer in it, and when that came
 
-    def update(self, news: ServerList, now: float) -> None:
+    def update(self, news: EndpointUpdate, now: float) -> None:
         """Follows the list. A server that drains or is gone gets nothing new from this moment on."""
         moved: dict[str, None] = {}  # names that have come or gone, in order
-        if news.kind in (ListKind.FULL, ListKind.SAVED):
-            listed = {entry.server for entry in news.entries}
+        if news.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED_SNAPSHOT):
+            listed = {entry.server_id for entry in news.endpoints}
             for name in [name for name in self.servers if name not in listed]:
                 self.removed(name, moved)
-        for entry in news.entries:
-            if entry.state is not ServerState.ACTIVE:
-                self.removed(entry.server, moved)
-            elif (old := self.servers.get(entry.server)) is None:
-                moved[entry.server] = None
+        for entry in news.endpoints:
+            if entry.state is not EndpointState.ACTIVE:
+                self.removed(entry.server_id, moved)
+            elif (old := self.servers.get(entry.server_id)) is None:
+                moved[entry.server_id] = None
                 self.started(now, entry, None)
             elif old.entry != entry:
                 self.changed(now, old, entry)
@@ -566,16 +567,16 @@
             self.turn_ring(moved)
             self.choose_subset(now)
 
-    def started(self, now: float, entry: ServerEntry, old: Server | None) -> None:
+    def started(self, now: float, entry: Endpoint, old: Server | None) -> None:
         """A new process: what was learned of an old one says nothing of it."""
-        new = self.servers[entry.server] = Server(entry, out=old.out if old else 0)
+        new = self.servers[entry.server_id] = Server(entry, out=old.out if old else 0)
         self.next_turn(now, new)  # the gateways hear of it at once, and would all send in one moment
         if old is not None and old.kept:
-            new.kept, self.subset[entry.server] = True, new
+            new.kept, self.subset[entry.server_id] = True, new
         else:
             self.spares.add(new, self.warm_at(new), now)
 
-    def changed(self, now: float, old: Server, entry: ServerEntry) -> None:
+    def changed(self, now: float, old: Server, entry: Endpoint) -> None:
         """Other words on a server that is on the list."""
         if not old.kept:
             self.spares.discard(old.entry)
@@ -614,7 +615,7 @@
         Servers stand in a ring, where one that comes or goes moves each part by one at most. Multiples of the
         golden ratio spread the parts evenly, and those of gateways in a row far from each other."""
         size = len(self.ring)
-        start = int(self.settings.number * GOLDEN % 1.0 * size)
+        start = int(self.settings.gateway_index * GOLDEN % 1.0 * size)
         names = dict.fromkeys(self.ring[(start + i) % size][1] for i in range(min(SUBSET, size)))
         for name in [name for name in self.subset if name not in names]:
             server = self.subset.pop(name)
@@ -630,16 +631,20 @@
 
     def warm_at(self, server: Server) -> float:
         """When a server is warm at the latest."""
-        rules = self.settings.safety
-        cold = server.entry.started_ms > 0 and rules.cold_share < 1.0
-        return server.entry.started_ms + max(1.0, rules.warm_ms) if cold else 0.0
+        rules = self.settings.slow_start
+        cold = server.entry.started_ms > 0 and rules.initial_capacity_share < 1.0
+        return server.entry.started_ms + max(1.0, rules.warm_up_ms) if cold else 0.0
 
     def warmth(self, server: Server, now: float) -> float:
         """The least share of its capacity that a server has by now."""
-        rules = self.settings.safety
-        age = max(0.0, now - server.entry.started_ms) / max(1.0, rules.warm_ms)
+        rules = self.settings.slow_start
+        age = max(0.0, now - server.entry.started_ms) / max(1.0, rules.warm_up_ms)
         cold = server.entry.started_ms > 0
-        return min(1.0, rules.cold_share + (1.0 - rules.cold_share) * age) if cold else 1.0
+        return (
+            min(1.0, rules.initial_capacity_share + (1.0 - rules.initial_capacity_share) * age)
+            if cold
+            else 1.0
+        )
 
     def warm(self, now: float) -> int:
         """How many of the servers that this gateway keeps to are warm by now."""
@@ -647,22 +652,28 @@
 
     def mean(self, cls: RequestClass, units: float) -> float:
         """Mean time of such answers, over the fleet."""
-        return self.means.get((cls.name, round(units)), cls.aim_ms * 0.15)
+        return self.means.get((cls.name, round(units)), cls.latency_objective_ms * 0.15)
 
     def pick(self, now: float, opened: Open) -> Server | None:
         """The server with the least expected delay; None if there is none to send to."""
         cls = opened.cls
-        home = opened.home if cls.repeat is Repeat.KEYED and cls.scope is not Scope.ALL else None
+        home = (
+            opened.home
+            if cls.idempotency is Idempotency.KEYED and cls.deduplication_scope is not DeduplicationScope.ALL
+            else None
+        )
         best, least = self.best(now, opened, home, self.subset.values())
         if best is None or least > AWAY:
             self.spares.warmed(now, self.servers)
-            other, cost = self.best(now, opened, home, self.spares.draw(self.rng, home, cls.scope))
+            other, cost = self.best(
+                now, opened, home, self.spares.draw(self.rng, home, cls.deduplication_scope)
+            )
             if cost < least:
                 best = other
         return best
 
     def best(
-        self, now: float, opened: Open, home: ServerEntry | None, servers: Iterable[Server]
+        self, now: float, opened: Open, home: Endpoint | None, servers: Iterable[Server]
     ) -> tuple[Server | None, float]:
         """The server of these that costs least, in mean service times."""
         best: Server | None = None
@@ -671,7 +682,8 @@
         for server in servers:
             entry = server.entry
             if home and (
-                entry.zone != home.zone or (opened.cls.scope is Scope.CELL and entry.cell != home.cell)
+                entry.zone != home.zone
+                or (opened.cls.deduplication_scope is DeduplicationScope.CELL and entry.cell != home.cell)
             ):
                 continue
             warmth = self.warmth(server, now)
@@ -680,12 +692,12 @@
             # Its turns alone hold a cold server to its share. Weighed by its warmth too, it would get nothing
             # from many gateways: to each of them the warm ones, full of others' work, look idle.
             cost = self.delay(server, now, mean)
-            if entry.server in opened.tried:
+            if entry.server_id in opened.tried:
                 cost += 10.0
             if not server.kept:
                 cost += AWAY
             if entry.zone != self.settings.zone:
-                cost *= 1.0 + 10.0 * self.settings.cross_zone_price
+                cost *= 1.0 + 10.0 * self.settings.cross_zone_cost
             cost *= TIES if warmth < 1.0 else self.rng.uniform(0.9, 1.1)
             if cost < least:
                 best, least = server, cost
@@ -714,8 +726,8 @@
         """Units a second that a cold server may be sent from here: all gateways together send it half of what
         would push it over, were the warm ones at their limit; those that know no rate send one request in
         COLD_S."""
-        share = 0.5 * self.settings.safety.overload_factor * warmth
-        return max(self.rate * min(1.0, share), self.units / COLD_S / self.settings.gateways)
+        share = 0.5 * self.settings.slow_start.overload_factor * warmth
+        return max(self.rate * min(1.0, share), self.units / COLD_S / self.settings.gateway_count)
 
     def next_turn(self, now: float, server: Server) -> None:
         """Draws when a cold server's next turn comes: at random, or those of many gateways would coincide."""
@@ -729,7 +741,7 @@
         rate = self.slow_start_rate(warmth)
         server.credit += rate * (now - server.credit_at) / 1000.0
         server.credit_at = now
-        most = rate * OPEN_TURN * self.settings.safety.overload_ms / 1000.0
+        most = rate * OPEN_TURN * self.settings.slow_start.overload_window_ms / 1000.0
         if server.credit > most:
             self.next_turn(now, server)
             server.credit += most  # it may have come since
@@ -747,37 +759,37 @@
 
     def budget_share(self, warmth: float, units: float) -> float:
         """The share of what a cold server bears that one request takes, if it has but one core."""
-        rules = self.settings.safety
-        return units * self.per_unit / max(1.0, rules.overload_factor * warmth * rules.overload_ms)
+        rules = self.settings.slow_start
+        return units * self.per_unit / max(1.0, rules.overload_factor * warmth * rules.overload_window_ms)
 
-    def ended(self, now: float, event: AttemptEnded, cls: RequestClass, units: float) -> None:
+    def ended(self, now: float, event: AttemptCompleted, cls: RequestClass, units: float) -> None:
         """Learns from an outcome."""
-        if (server := self.servers.get(event.server)) is None:
+        if (server := self.servers.get(event.server_id)) is None:
             return
         server.out = max(0, server.out - 1)
-        if event.queue is not None:
-            server.queue, server.queue_at = event.queue, now
-        if event.ending in (Ending.UNSENT, Ending.CANCELLED):
+        if event.queue_length is not None:
+            server.queue, server.queue_at = event.queue_length, now
+        if event.outcome in (CallOutcome.NOT_SENT, CallOutcome.CANCELLED):
             return
-        if event.ending is not Ending.TIMEOUT or not server.out:
+        if event.outcome is not CallOutcome.TIMEOUT or not server.out:
             server.silent_since = now if server.out else None
         faded = server.failures(now)
-        if event.ending in (Ending.OK, Ending.TIMEOUT):
+        if event.outcome in (CallOutcome.OK, CallOutcome.TIMEOUT):
             # A time-out tells the least that the answer would have taken. Leaving it out would make a busy
             # server look quick by the answers that got through, and shorten the time-outs as load grows.
             key = (cls.name, round(units))
             mean = self.mean(cls, units)
-            self.means[key] = mean + 0.03 * (event.took_ms - mean)
-            self.load += 0.12 * (event.took_ms / mean - self.load)
-            server.pace += 0.12 * (event.took_ms / mean - server.pace)
-        if event.ending is Ending.OK:
+            self.means[key] = mean + 0.03 * (event.duration_ms - mean)
+            self.load += 0.12 * (event.duration_ms / mean - self.load)
+            server.pace += 0.12 * (event.duration_ms / mean - server.pace)
+        if event.outcome is CallOutcome.OK:
             server.fails = faded * 0.7
             if server.kept and self.warmth(server, now) >= 1.0:
-                self.answered(now, event.took_ms, units)
+                self.answered(now, event.duration_ms, units)
         else:
-            weight = 0.5 if event.ending in (Ending.TIMEOUT, Ending.UNREACHABLE) else 0.3
+            weight = 0.5 if event.outcome in (CallOutcome.TIMEOUT, CallOutcome.UNREACHABLE) else 0.3
             server.fails = faded + weight * (1.0 - faded)
-            self.failing[event.server] = server
+            self.failing[event.server_id] = server
         server.fails_at = now
 
     def answered(self, now: float, took_ms: float, units: float) -> None:
@@ -883,7 +895,7 @@
     waits: bool = False  # for the answer to that call
     tried: list[str] = field(default_factory=list)
     may_run_at: float | None = None  # when the first attempt was sent that may have run
-    home: ServerEntry | None = None  # where that one went
+    home: Endpoint | None = None  # where that one went
 
 
 @dataclass(slots=True)
@@ -891,7 +903,7 @@
     """An attempt under way; it may outlive its request."""
 
     opened: Open
-    server: ServerEntry
+    server: Endpoint
     sent: float
     work: float  # mean time of such a request by then
 
@@ -923,23 +935,26 @@
         match event:
             case Request():
                 self.accept(now_ms, event)
-            case AttemptEnded():
+            case AttemptCompleted():
                 self.ended(now_ms, event)
-            case ServerList():
+            case EndpointUpdate():
                 self.fleet.update(event, now_ms)
-                if event.kind in (ListKind.SAVED, ListKind.FAILED) and self.settings.subscribe:
-                    self.actions.append(Subscribe())
+                if (
+                    event.kind in (UpdateKind.CACHED_SNAPSHOT, UpdateKind.WATCH_FAILED)
+                    and self.settings.watch_required
+                ):
+                    self.actions.append(WatchEndpoints())
                 self.resume(now_ms)
             case TimerFired():
                 self.tick(now_ms)
-            case CountReply():
+            case CounterReply():
                 waits, calls = self.quota.counted(now_ms, event)
                 self.actions += calls
                 if waiting := self.requests.get(waits or ""):
-                    self.decide(now_ms, waiting, event.ending is Ending.OK)
-                elif (left := self.left.pop(waits or "", None)) and event.ending is Ending.OK:
+                    self.decide(now_ms, waiting, event.outcome is CallOutcome.OK)
+                elif (left := self.left.pop(waits or "", None)) and event.outcome is CallOutcome.OK:
                     self.actions += self.quota.give_back(now_ms, *left)
-            case RequestGone(request_id) | AnswerBegan(request_id):
+            case ClientDisconnected(request_id) | ResponseStarted(request_id):
                 opened = self.requests.pop(request_id, None)
                 if opened is not None and opened.waits and opened.customer is not None:
                     self.left[request_id] = opened.customer, opened.request.units
@@ -948,13 +963,15 @@
     def tick(self, now: float) -> None:
         """Judges pressure, ages out customers, looks at held requests."""
         self.actions.append(SetTimer(0, now + TICK_MS))
-        self.pressure.window(now, [(now - a.sent) / a.opened.cls.aim_ms for a in self.attempts.values()])
-        self.tell(now, "counter mute", self.settings.counter and self.quota.mute)
-        self.tell(now, "calls to the counter slowed", self.quota.share < 0.5)
-        self.tell(now, "V binds", self.pressure.capacity < math.inf)
-        self.tell(now, "no server to send to", not self.fleet.servers)
-        self.tell(now, "requests fail on most servers", self.fleet.usual > 0.2)
-        self.tell(now, "servers avoided", ", ".join(self.fleet.judge(now)))
+        self.pressure.window(
+            now, [(now - a.sent) / a.opened.cls.latency_objective_ms for a in self.attempts.values()]
+        )
+        self.tell(now, "counter_unavailable", self.settings.counter_enabled and self.quota.mute)
+        self.tell(now, "counter_calls_throttled", self.quota.share < 0.5)
+        self.tell(now, "capacity_limited", self.pressure.capacity < math.inf)
+        self.tell(now, "no_endpoints", not self.fleet.servers)
+        self.tell(now, "fleet_failing", self.fleet.usual > 0.2)
+        self.tell(now, "outliers_ejected", ", ".join(self.fleet.judge(now)))
         self.quota.forget_idle(now)
         for customer in list(self.quota.due.values()):
             self.actions += self.quota.calls(now, customer)
@@ -965,15 +982,17 @@
         was, at = self.told.get(what, (False, -math.inf))
         if bool(state) != was and now - at >= 5000.0:
             self.told[what] = (bool(state), now)
-            detail = f" ({state})" if state and isinstance(state, str) else ""
-            self.actions.append(Log(f"{what}: {'begins' if state else 'ends'}{detail}"))
+            fields = [("state", "began" if state else "ended")]
+            if state and isinstance(state, str):
+                fields.append(("servers", state))
+            self.actions.append(LogEvent(what, tuple(fields)))
 
     def accept(self, now: float, request: Request) -> None:
         """A new request: quota first, then V, then a server."""
         left = request.time_left_ms
-        cls = self.classes.get(request.class_name) or RequestClass("", left, 1.0, Repeat.UNSAFE)
-        if left <= 0 or len(self.requests) >= self.settings.max_requests - 1:
-            self.actions.append(Refuse(request.request_id, self.settings.max_retry_after_ms))
+        cls = self.classes.get(request.class_name) or RequestClass("", left, 1.0, Idempotency.NON_IDEMPOTENT)
+        if left <= 0 or len(self.requests) >= self.settings.max_pending_requests - 1:
+            self.actions.append(Reject(request.request_id, self.settings.max_retry_after_ms))
             return
         self.retries = min(10.0, self.retries + 0.2)
         customer = self.quota.customer(now, request)
@@ -993,17 +1012,17 @@
         request, cls, customer = opened.request, opened.cls, opened.customer
         opened.waits = False
         if customer is not None:
-            value = cls.worth * customer.plan.price
+            value = cls.priority_weight * customer.plan.price
             wait = self.quota.admit(now, customer, request.units, asked, opened.counted and not asked)
-            many = len(self.attempts) > max(FEW, 2.0 * len(self.fleet.servers) / self.settings.gateways)
-            if wait is None and not self.pressure.admit(value, request.units, cls.aim_ms, many):
+            many = len(self.attempts) > max(FEW, 2.0 * len(self.fleet.servers) / self.settings.gateway_count)
+            if wait is None and not self.pressure.admit(value, request.units, cls.latency_objective_ms, many):
                 wait = self.settings.max_retry_after_ms
             if wait is not None:
                 if asked:
                     self.actions += self.quota.give_back(now, customer, request.units)
                 del self.requests[request.request_id]
                 wait = max(1.0, min(wait, self.settings.max_retry_after_ms))
-                self.actions.append(Refuse(request.request_id, wait))
+                self.actions.append(Reject(request.request_id, wait))
                 return
             # Booked now and not at the sending, so that held requests don't pass a ceiling together.
             self.quota.take(customer, request.units, opened.counted, asked)
@@ -1015,7 +1034,7 @@
         request, cls = opened.request, opened.cls
         server = self.fleet.pick(now, opened)
         if server is None:
-            if now - opened.came < 0.3 * cls.aim_ms and now < opened.deadline - 2 * TICK_MS:
+            if now - opened.came < 0.3 * cls.latency_objective_ms and now < opened.deadline - 2 * TICK_MS:
                 self.held.append(request.request_id)  # a server may come up, or a cold one's turn
             else:
                 self.finish(opened)
@@ -1023,15 +1042,19 @@
         if opened.customer is not None:
             opened.customer.open += 1
         mean = self.fleet.mean(cls, request.units)
-        patience = max(0.5 * cls.aim_ms, 5.0 * mean * max(1.0, self.fleet.load))
-        late = patience > 0.75 * cls.aim_ms or opened.deadline - now - patience < mean
-        if late or cls.repeat is Repeat.UNSAFE or opened.attempts >= min(2, self.settings.max_attempts - 1):
+        patience = max(0.5 * cls.latency_objective_ms, 5.0 * mean * max(1.0, self.fleet.load))
+        late = patience > 0.75 * cls.latency_objective_ms or opened.deadline - now - patience < mean
+        if (
+            late
+            or cls.idempotency is Idempotency.NON_IDEMPOTENT
+            or opened.attempts >= min(2, self.settings.max_attempts - 1)
+        ):
             patience = 0.0  # a second try would come too late: a busy fleet is left to finish its work
-        self.actions.append(Send(request.request_id, server.entry.server, patience))
+        self.actions.append(StartAttempt(request.request_id, server.entry.server_id, patience))
         self.attempts[request.request_id, opened.attempts] = Attempt(opened, server.entry, now, mean)
         opened.attempts += 1
         opened.out += 1
-        opened.tried.append(server.entry.server)
+        opened.tried.append(server.entry.server_id)
         self.fleet.sent(now, server, request.units)
         self.pressure.backlog += mean
 
@@ -1047,7 +1070,7 @@
             else:
                 self.finish(opened)  # what may have run is not sent once the servers may have forgotten it
 
-    def ended(self, now: float, event: AttemptEnded) -> None:
+    def ended(self, now: float, event: AttemptCompleted) -> None:
         """An attempt's outcome: learn from it, then try again where that is allowed, else answer."""
         if (attempt := self.attempts.pop((event.request_id, event.attempt), None)) is None:
             return
@@ -1055,19 +1078,19 @@
         self.fleet.ended(now, event, opened.cls, opened.request.units)
         if opened.customer is not None:
             opened.customer.open -= 1
-            self.quota.hold_s += 0.02 * (event.took_ms / 1000.0 - self.quota.hold_s)
+            self.quota.hold_s += 0.02 * (event.duration_ms / 1000.0 - self.quota.hold_s)
         self.pressure.backlog = max(0.0, self.pressure.backlog - attempt.work)
-        if event.ending is Ending.OK:
+        if event.outcome is CallOutcome.OK:
             self.pressure.answered(now, attempt.work)
-        if event.ending in (Ending.OK, Ending.TIMEOUT):
-            self.pressure.times.append(event.took_ms / opened.cls.aim_ms)
+        if event.outcome in (CallOutcome.OK, CallOutcome.TIMEOUT):
+            self.pressure.times.append(event.duration_ms / opened.cls.latency_objective_ms)
         if event.request_id not in self.requests:
             return
-        if event.final:
+        if event.request_completed:
             del self.requests[event.request_id]
             return
         opened.out -= 1
-        if event.ending not in DID_NOT_RUN and opened.may_run_at is None:
+        if event.outcome not in DID_NOT_RUN and opened.may_run_at is None:
             opened.may_run_at = attempt.sent
             opened.home = attempt.server
         if opened.out > 0:
@@ -1078,20 +1101,27 @@
         else:
             self.finish(opened)
 
-    def may_repeat(self, now: float, opened: Open, event: AttemptEnded | None) -> bool:
+    def may_repeat(self, now: float, opened: Open, event: AttemptCompleted | None) -> bool:
         """Whether another attempt is allowed and of use."""
         cls = opened.cls
-        useful = opened.deadline if cls.late_worth > 0 else min(opened.deadline, opened.came + cls.aim_ms)
-        if opened.attempts >= self.settings.max_attempts or (event and event.ending is Ending.UNSENT):
+        useful = (
+            opened.deadline
+            if cls.late_weight > 0
+            else min(opened.deadline, opened.came + cls.latency_objective_ms)
+        )
+        if opened.attempts >= self.settings.max_attempts or (event and event.outcome is CallOutcome.NOT_SENT):
             return False
         if now + 0.5 * self.fleet.mean(cls, opened.request.units) > useful:
             return False
-        if opened.may_run_at is None or cls.repeat is Repeat.SAFE:
+        if opened.may_run_at is None or cls.idempotency is Idempotency.IDEMPOTENT:
             return True
-        return cls.repeat is Repeat.KEYED and now < opened.may_run_at + cls.memory_ms - 5.0
+        return (
+            cls.idempotency is Idempotency.KEYED
+            and now < opened.may_run_at + cls.deduplication_window_ms - 5.0
+        )
 
     def finish(self, opened: Open) -> None:
         """The final answer of a request that was not served: refused only if that promises nothing false."""
         name, clear = opened.request.request_id, opened.may_run_at is None
         del self.requests[name]
-        self.actions.append(Refuse(name, self.settings.max_retry_after_ms) if clear else Fail(name))
+        self.actions.append(Reject(name, self.settings.max_retry_after_ms) if clear else Fail(name))
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the decisions, from scripted events."""
+"""Tests of the gateway and its lab; the folders mirror the package."""
--- a/tests/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from fleetlab import capacity
-from fleetlab.experiment import load_as
+from quota_gateway.lab.scaling import capacity
+from quota_gateway.lab.simulation.experiment import load_as
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 SIZE = ROOT / "experiments" / "sizes" / "ahead.toml"
 NAMES = (
     "decision: request and its outcome",
@@ -75,7 +75,14 @@
 
 
 def run(*arguments: str) -> subprocess.CompletedProcess[str]:
-    command = [sys.executable, "-c", "from fleetlab.cli import main; main()", "lab", "capacity", *arguments]
+    command = [
+        sys.executable,
+        "-c",
+        "from quota_gateway.lab.cli.main import main; main()",
+        "lab",
+        "capacity",
+        *arguments,
+    ]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60.0)
 
 
--- a/tests/test_demo.py
+++ b/tests/lab/test_demo.py
@@ -1,4 +1,4 @@
-"""`gingerwheel demo` and `gingerwheel lab load` as a newcomer starts them: figures, bad input, their end."""
+"""`quota-gateway demo` and `quota-gateway lab load` as a newcomer starts them: output, bad input, exit."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
 import msgspec
 import pytest
 
-from fleetlab import processes, results, trial
-from fleetlab.processes import GatewayError
-from fleetlab.report import troubles
-from fleetlab.rig import Rig, Shape
+from quota_gateway.lab import results
+from quota_gateway.lab.load import gateway_process as processes
+from quota_gateway.lab.load import trial
+from quota_gateway.lab.load.gateway_process import GatewayError
+from quota_gateway.lab.load.report import troubles
+from quota_gateway.lab.load.testbed import Rig, Shape
+from tests.network.loopback import play
 
-from .loopback import play
-
-ROOT = Path(__file__).resolve().parent.parent
-COMMAND = [sys.executable, "-c", "from fleetlab.cli import main; main()"]
+ROOT = Path(__file__).resolve().parents[2]
+COMMAND = [sys.executable, "-c", "from quota_gateway.lab.cli.main import main; main()"]
 LIMIT_S = 60.0
 
 
@@ -105,7 +106,7 @@
         process.send_signal(number)
         out, err = process.communicate(timeout=LIMIT_S)
     assert process.returncode == 128 + number
-    assert err == f"gingerwheel: ended by {number.name}\n"
+    assert err == f"quota-gateway: ended by {number.name}\n"
     assert not out
     assert not gateways_of(tmp_path)
     assert not list(tmp_path.iterdir())
@@ -140,16 +141,16 @@
 def test_bad_arguments_get_one_line_and_start_nothing(
     tmp_path: Path, arguments: list[str], monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    from fleetlab import cli
+    from quota_gateway.lab.cli import main as cli
 
-    monkeypatch.setattr(sys, "argv", ["gingerwheel", *arguments])
-    monkeypatch.setattr("fleetlab.command.trial", None)  # it would be a fault to get there
+    monkeypatch.setattr(sys, "argv", ["quota-gateway", *arguments])
+    monkeypatch.setattr("quota_gateway.lab.cli.trial_command.trial", None)  # it would be a fault to get there
     with pytest.raises(SystemExit) as ended:
         cli.main()
     out, err = capsys.readouterr()
     assert ended.value.code == 2
     assert not out
-    assert err.startswith("gingerwheel: ")
+    assert err.startswith("quota-gateway: ")
     assert err.count("\n") == 1
 
 
@@ -207,7 +208,7 @@
     rig = Rig(Shape(gateways=2))
 
     async def scenario() -> None:
-        with pytest.raises(GatewayError, match=r"ended with status 2: glenchute: .* holds no settings"):
+        with pytest.raises(GatewayError, match=r"ended with status 2: quota-gateway: .* holds no settings"):
             async with rig:
                 pass
 
--- a/tests/test_demo_load.py
+++ b/tests/lab/test_demo_load.py
@@ -9,12 +9,20 @@
 
 import pytest
 
-from fleetlab import load as load_module
-from fleetlab import site
-from fleetlab.load import Load, LoadError, LoadPlan, Outcome, Request, Tally, schedule, tenants
-from fleetlab.standins import Attempt, Ledger, ServerModel, ServerStandIn, made_for
-
-from .loopback import Reply, RespPeer, always, play, until
+from quota_gateway.lab.fakes import Attempt, Ledger, ServerModel, ServerStandIn, made_for
+from quota_gateway.lab.load import client as load_module
+from quota_gateway.lab.load import deployment as site
+from quota_gateway.lab.load.client import (
+    Load,
+    LoadError,
+    LoadPlan,
+    Outcome,
+    Request,
+    Tally,
+    schedule,
+    tenants,
+)
+from tests.network.loopback import Reply, RespPeer, always, play, until
 
 SITE = site.read(site.settings(3))
 
--- a/tests/test_demo_troubles.py
+++ b/tests/lab/test_demo_troubles.py
@@ -8,15 +8,14 @@
 
 import pytest
 
-from fleetlab import site
-from fleetlab.load import LoadPlan, Outcome, schedule
-from fleetlab.quota import Quotas, audit
-from fleetlab.rig import Rig, Shape
-from fleetlab.standins import Attempt, Fault, FaultKind, Ledger, ServerRow
-from fleetlab.troubles import Trouble, TroubleError, Troubles, read
-
-from .loopback import play, until
-from .test_demo import run
+from quota_gateway.lab.fakes import Attempt, Fault, FaultKind, Ledger, ServerRow
+from quota_gateway.lab.load import deployment as site
+from quota_gateway.lab.load.client import LoadPlan, Outcome, schedule
+from quota_gateway.lab.load.fault_injection import Trouble, TroubleError, Troubles, read
+from quota_gateway.lab.load.quota_audit import Quotas, audit
+from quota_gateway.lab.load.testbed import Rig, Shape
+from tests.lab.test_demo import run
+from tests.network.loopback import play, until
 
 
 def test_a_trouble_is_read_as_it_is_written() -> None:
--- a/tests/test_lab_experiment.py
+++ b/tests/lab/test_lab_experiment.py
@@ -7,8 +7,8 @@
 import pytest
 from typer.testing import CliRunner
 
-from fleetlab.cli import app
-from fleetlab.experiment import load
+from quota_gateway.lab.cli.main import app
+from quota_gateway.lab.simulation.experiment import load
 
 HEAD = 'name = "t"\nseconds = 1.0\n[fleet]\ngateways = 2\nservers = 3\n'
 LOAD = "[load]\nrequests_per_s = 10.0\nspread = [1, 2]\n"
@@ -20,7 +20,7 @@
     "name", ["small", "today", "ahead", "ahead_faults", "zone_loss", "restarts", "ramp", *CALIBRATIONS]
 )
 def test_the_experiments_of_the_project_can_be_run(name: str) -> None:
-    made = load(Path(__file__).parent.parent / "experiments" / f"{name}.toml")
+    made = load(Path(__file__).resolve().parents[2] / "experiments" / f"{name}.toml")
     assert made.name == name
     assert made.fleet.servers >= made.visible >= made.fleet.servers // made.pools
 
--- a/tests/test_lab_models.py
+++ b/tests/lab/test_lab_models.py
@@ -7,23 +7,25 @@
 
 import pytest
 
-from fleetlab.experiment import Clients as ClientFigures
-from fleetlab.experiment import Counter as CounterFigures
-from fleetlab.experiment import Discovery as DiscoveryFigures
-from fleetlab.experiment import Experiment, Fleet, Load, excess
-from fleetlab.experiment import Network as NetworkFigures
-from fleetlab.experiment import Servers as ServerFigures
-from fleetlab.sim.books import Books
-from fleetlab.sim.clients import Tenant, Try, mean_units, plans, tenants
-from fleetlab.sim.counter import Counter
-from fleetlab.sim.discovery import Agent, Service
-from fleetlab.sim.gateways import Pending
-from fleetlab.sim.kernel import Kernel
-from fleetlab.sim.network import Network, Place
-from fleetlab.sim.servers import Job, Life, Server
-from fleetlab.sim.world import World
-from glenchute.discovery import WAIT_S
-from heathglade.interface import Ending, ListKind, Plan, ServerEntry, ServerList, ServerState
+from quota_gateway.lab.simulation.clients import Tenant, Try, mean_units, plans, tenants
+from quota_gateway.lab.simulation.counter import Counter
+from quota_gateway.lab.simulation.discovery import Agent, Service
+from quota_gateway.lab.simulation.experiment import Clients as ClientFigures
+from quota_gateway.lab.simulation.experiment import Counter as CounterFigures
+from quota_gateway.lab.simulation.experiment import Discovery as DiscoveryFigures
+from quota_gateway.lab.simulation.experiment import Experiment, Fleet, Load, excess
+from quota_gateway.lab.simulation.experiment import Network as NetworkFigures
+from quota_gateway.lab.simulation.experiment import Servers as ServerFigures
+from quota_gateway.lab.simulation.gateways import Pending
+from quota_gateway.lab.simulation.metrics import Books
+from quota_gateway.lab.simulation.network import Network, Place
+from quota_gateway.lab.simulation.scheduler import Kernel
+from quota_gateway.lab.simulation.servers import Job, Life, Server
+from quota_gateway.lab.simulation.simulation import World
+from quota_gateway.network.discovery.watch import WAIT_S
+from quota_gateway.policy_api.endpoints import Endpoint, EndpointState, EndpointUpdate, UpdateKind
+from quota_gateway.policy_api.events import CallOutcome, CounterReply
+from quota_gateway.settings import Plan
 
 HERE, THERE, FAR = Place("z0", 0), Place("z1", 0), Place("z2", 1)
 NO_CHANCE = NetworkFigures(jitter=0.0)
@@ -38,7 +40,7 @@
     def __init__(self, **figures: Any) -> None:
         self.kernel, self.books = Kernel(), Books()
         self.server = Server(self.kernel, self.books, ServerFigures(**figures), "s", HERE, pace=100.0, pool=0)
-        self.endings: list[tuple[float, Ending]] = []
+        self.endings: list[tuple[float, CallOutcome]] = []
 
     def send(self, count: int = 1, work: float = 100.0) -> list[Job]:
         jobs = [Job(work, self.ended) for _ in range(count)]
@@ -46,24 +48,24 @@
             self.server.take(job)
         return jobs
 
-    def ended(self, ending: Ending) -> None:
+    def ended(self, ending: CallOutcome) -> None:
         self.endings.append((self.kernel.now, ending))
 
     def run(self, ms: float) -> None:
         self.kernel.run(self.kernel.now + ms)
 
-    def tally(self) -> dict[Ending, int]:
+    def tally(self) -> dict[CallOutcome, int]:
         return {ending: sum(e is ending for _, e in self.endings) for ending in {e for _, e in self.endings}}
 
 
 def test_a_server_has_cores_and_a_waiting_room_and_turns_the_rest_away() -> None:
     machine = Machine(cores=2, room=3)
     machine.send(8)
-    assert machine.tally() == {Ending.FULL: 3}
+    assert machine.tally() == {CallOutcome.REJECTED: 3}
     machine.run(100.0)
-    assert machine.tally() == {Ending.FULL: 3, Ending.OK: 2}
+    assert machine.tally() == {CallOutcome.REJECTED: 3, CallOutcome.OK: 2}
     machine.run(1000.0)
-    assert machine.tally() == {Ending.FULL: 3, Ending.OK: 5}
+    assert machine.tally() == {CallOutcome.REJECTED: 3, CallOutcome.OK: 5}
     assert machine.endings[-1][0] - machine.endings[0][0] == pytest.approx(300.0)
 
 
@@ -110,7 +112,7 @@
         assert fall.budget == pytest.approx(budget)
         assert fall.report()["excess"] > 0.0
         assert fall.report()["rule_broken"]
-        assert machine.tally() == {Ending.RESET: 19}
+        assert machine.tally() == {CallOutcome.RESET: 19}
 
 
 def test_calls_outside_the_window_push_nobody_over() -> None:
@@ -128,17 +130,17 @@
     machine.server.life = Life.DRAINING
     machine.send(1)
     machine.run(500.0)
-    assert machine.tally() == {Ending.OK: 2, Ending.FULL: 1}  # it completes what it has
+    assert machine.tally() == {CallOutcome.OK: 2, CallOutcome.REJECTED: 1}  # it completes what it has
     machine.server.life = Life.HUNG
     machine.send(1)
     machine.run(5000.0)
     assert len(machine.endings) == 3
     machine.server.resume()
     machine.run(150.0)
-    assert machine.tally()[Ending.OK] == 3
+    assert machine.tally()[CallOutcome.OK] == 3
     machine.send(3)
     machine.server.stop(Life.DOWN)
-    assert machine.tally()[Ending.RESET] == 3
+    assert machine.tally()[CallOutcome.RESET] == 3
     machine.server.start()
     machine.send(3)
     machine.server.stop(Life.VANISHED)  # says nothing
@@ -158,13 +160,13 @@
             parts=1, calls_per_s=(100.0, 100.0), call_ms=(1.0, 1.0), line=(1.0, 1.0), **figures
         )
         self.counter = Counter(self.kernel, self.books, made, [HERE], seed=1)
-        self.answers: list[tuple[float, Ending, float]] = []
+        self.answers: list[tuple[float, CallOutcome, float]] = []
 
     def call(self, name: int = 5, amount: float = 1.0, ttl: float = 60_000.0) -> None:
         _, part = self.counter.home(0, name)
         self.counter.call(part, name, amount, ttl, self.answered)
 
-    def answered(self, ending: Ending, total: float) -> None:
+    def answered(self, ending: CallOutcome, total: float) -> None:
         self.answers.append((self.kernel.now, ending, total))
 
     def run(self, ms: float) -> None:
@@ -177,8 +179,8 @@
     for _ in range(10):
         calls.call()
     calls.run(1000.0)
-    busy = [at for at, ending, _ in calls.answers if ending is Ending.FULL]
-    added = [(round(at - start, 6), total) for at, ending, total in calls.answers if ending is Ending.OK]
+    busy = [at for at, ending, _ in calls.answers if ending is CallOutcome.REJECTED]
+    added = [(round(at - start, 6), total) for at, ending, total in calls.answers if ending is CallOutcome.OK]
     assert busy == [start] * 4  # the line holds one time-out, five calls, besides the one that is served
     assert added == [(11.0 + 10.0 * i, i + 1.0) for i in range(6)]
 
@@ -227,8 +229,8 @@
         self.network = Network(NO_CHANCE, 1)
         self.service = Service(self.kernel, self.books, made, self.network, HERE, 1, seed=1)
         for i in range(3):
-            self.service.add(0, ServerEntry(f"s{i}", "z0"))
-        self.told: list[list[ServerList]] = [[] for _ in range(agents)]
+            self.service.add(0, Endpoint(f"s{i}", "z0"))
+        self.told: list[list[EndpointUpdate]] = [[] for _ in range(agents)]
         self.agents = [
             Agent(self.kernel, self.service, THERE, 0, agents, 1, i, self.told[i].append)
             for i in range(agents)
@@ -239,11 +241,11 @@
     def run(self, ms: float) -> None:
         self.kernel.run(self.kernel.now + ms)
 
-    def change(self, server: str = "s1", state: ServerState = ServerState.DRAINING) -> None:
-        self.service.change(0, ServerEntry(server, "z0", state=state))
+    def change(self, server: str = "s1", state: EndpointState = EndpointState.DRAINING) -> None:
+        self.service.change(0, Endpoint(server, "z0", state=state))
 
-    def news(self, agent: int = 0) -> list[ServerList]:
-        return [one for one in self.told[agent] if one.entries]
+    def news(self, agent: int = 0) -> list[EndpointUpdate]:
+        return [one for one in self.told[agent] if one.endpoints]
 
 
 def test_a_watch_is_told_of_changes_only_and_late() -> None:
@@ -254,8 +256,8 @@
     assert not watch.news()
     watch.run(10.0)
     (news,) = watch.news()
-    assert news.kind is ListKind.CHANGES
-    assert [entry.server for entry in news.entries] == ["s1"]
+    assert news.kind is UpdateKind.DELTA
+    assert [entry.server_id for entry in news.endpoints] == ["s1"]
     assert watch.agents[0].since == 1
 
 
@@ -266,18 +268,18 @@
     assert "whole_lists" not in watch.books.calls["discovery"]
 
 
-@pytest.mark.parametrize(("kept", "kind"), [(100, ListKind.CHANGES), (2, ListKind.FULL)])
-def test_who_is_far_behind_gets_the_whole_list(kept: int, kind: ListKind) -> None:
+@pytest.mark.parametrize(("kept", "kind"), [(100, UpdateKind.DELTA), (2, UpdateKind.SNAPSHOT)])
+def test_who_is_far_behind_gets_the_whole_list(kept: int, kind: UpdateKind) -> None:
     watch = Watch(kept=kept)
     watch.service.stop()
     for i in range(3):
-        watch.change(f"s{i}", ServerState.GONE if i else ServerState.DRAINING)
+        watch.change(f"s{i}", EndpointState.GONE if i else EndpointState.DRAINING)
     watch.run(2000.0)
     watch.service.start()
     watch.run(8000.0)
     (news,) = watch.news()
     assert news.kind is kind
-    assert len(news.entries) == (3 if kind is ListKind.CHANGES else 1)
+    assert len(news.endpoints) == (3 if kind is UpdateKind.DELTA else 1)
 
 
 def test_an_overbooked_service_turns_calls_away_which_are_spread_and_all_are_told() -> None:
@@ -343,7 +345,7 @@
     assert max(uses) <= 8.001
     for plan in plan_list:
         assert plan.burst >= 16.0
-        assert (plan.ceiling_rate > plan.rate) == (plan.name == "institucional")
+        assert (plan.hard_limit_rate > plan.rate) == (plan.name == "institucional")
 
 
 @pytest.mark.parametrize("part", [1.0, 0.1])
@@ -436,7 +438,7 @@
 def test_answers_of_the_counter_come_in_the_order_of_the_calls_for_a_name() -> None:
     world = fleet(counter=CounterFigures(parts=1, calls_per_s=(20.0, 20.0), loss=0.2))
     tally = world.books.calls["counter"]
-    answered = sum(tally[f"answered_{kind}"] for kind in ("ok", "full", "timeout"))
+    answered = sum(tally[f"answered_{kind}"] for kind in ("ok", "rejected", "timeout"))
     assert answered == tally["calls"]  # exactly one for each
     assert tally["answered_timeout"] > 0
     assert tally["busy"] > 0
@@ -448,7 +450,7 @@
     world = fleet(0.1)
     clients, books = world.clients, world.books
     books.quota.clear()
-    plan = Plan("p", rate=1.0, burst=10.0, ceiling_rate=2.0, ceiling_burst=12.0, ceiling_slack=1.0)
+    plan = Plan("p", rate=1.0, burst=10.0, hard_limit_rate=2.0, hard_limit_burst=12.0, hard_limit_slack=1.0)
     now = world.kernel.now
     tenant = Tenant("c", plan, 0, 1, 0, 1000.0, 1.0, store=10.0, ceiling=12.0, fair=10.0, at=now)
 
@@ -482,9 +484,9 @@
     world = fleet(0.1)
     gateway, server = world.gateways[0], next(iter(world.servers.values()))
     after = 0.0 if told else world.experiment.discovery.told_ms  # discovery has it, the gateway was not told
-    entry = server.entry(ServerState.DRAINING)
+    entry = server.entry(EndpointState.DRAINING)
     if told:
-        gateway.note(ServerList(ListKind.CHANGES, (entry,)))
+        gateway.note(EndpointUpdate(UpdateKind.DELTA, (entry,)))
     else:
         world.service.publish(0, entry)
         gateway.agent.stop()
@@ -498,18 +500,18 @@
 
 def test_an_answer_that_overtakes_waits_for_those_before_it(monkeypatch: pytest.MonkeyPatch) -> None:
     gateway = fleet(0.1).gateways[0]
-    told: list[Any] = []
+    told: list[CounterReply] = []
     monkeypatch.setattr(gateway, "post", told.append)
     calls = [Pending(gateway, 9, gateway.kernel.now, gateway.life) for _ in range(3)]
     gateway.replies[9] = deque(calls)
-    calls[2].end(Ending.OK, 3.0)
-    calls[1].end(Ending.FULL, 0.0)
+    calls[2].end(CallOutcome.OK, 3.0)
+    calls[1].end(CallOutcome.REJECTED, 0.0)
     assert told == []
-    calls[0].end(Ending.TIMEOUT, 0.0)
-    calls[0].end(Ending.OK, 1.0)  # too late
-    assert [(reply.ending, reply.total) for reply in told] == [
-        (Ending.TIMEOUT, 0.0),
-        (Ending.FULL, 0.0),
-        (Ending.OK, 3.0),
+    calls[0].end(CallOutcome.TIMEOUT, 0.0)
+    calls[0].end(CallOutcome.OK, 1.0)  # too late
+    assert [(reply.outcome, reply.total) for reply in told] == [
+        (CallOutcome.TIMEOUT, 0.0),
+        (CallOutcome.REJECTED, 0.0),
+        (CallOutcome.OK, 3.0),
     ]
     assert gateway.replies == {}
--- a/tests/test_lab_run.py
+++ b/tests/lab/test_lab_run.py
@@ -11,14 +11,15 @@
 import pytest
 from typer.testing import CliRunner
 
-from fleetlab import results, slopes
-from fleetlab.cli import app
-from fleetlab.experiment import Experiment, Fault, Fleet, Load, Servers, load
-from fleetlab.sim.forms import HTTP_CALL, incrttl
-from fleetlab.sim.kernel import Kernel, stream
-from fleetlab.sim.world import World
-from heathglade.interface import ServerList, ServerState
-from heathglade.policy import stable
+from quota_gateway.lab import results
+from quota_gateway.lab.cli.main import app
+from quota_gateway.lab.scaling import slopes
+from quota_gateway.lab.simulation.experiment import Experiment, Fault, Fleet, Load, Servers, load
+from quota_gateway.lab.simulation.scheduler import Kernel, stream
+from quota_gateway.lab.simulation.simulation import World
+from quota_gateway.lab.simulation.wire_sizes import HTTP_CALL, incrttl
+from quota_gateway.policy.gateway import stable
+from quota_gateway.policy_api.endpoints import EndpointState, EndpointUpdate
 
 SMALL = """
 name = "tiny"
@@ -167,7 +168,7 @@
     assert [len(pool.gateways) for pool in world.pools] == [3, 2, 2]
     assert [len(roll.entries) for roll in world.service.rolls] == [20, 20, 20]
     for gateway in world.gateways:
-        assert gateway.settings.gateways == len(gateway.pool.gateways)
+        assert gateway.settings.gateway_count == len(gateway.pool.gateways)
         regions = {s.place.region for s in world.servers.values() if s.pool == gateway.pool_number}
         assert regions == {gateway.place.region}
 
@@ -265,13 +266,13 @@
     for _ in range(20):
         bench.request("00000000b4d65521")
     assert bench.sends == 20
-    news: list[ServerList] = []
+    news: list[EndpointUpdate] = []
     monkeypatch.setattr(bench.gateway, "handle", lambda now, event: news.append(event))
     for _ in range(64):
         bench.change()
-    states = [(one.entries[0].server, one.entries[0].state) for one in news]
+    states = [(one.endpoints[0].server_id, one.endpoints[0].state) for one in news]
     for (drained, draining), (back, active) in zip(states[::2], states[1::2], strict=True):
-        assert (drained, draining, active) == (back, ServerState.DRAINING, ServerState.ACTIVE)
+        assert (drained, draining, active) == (back, EndpointState.DRAINING, EndpointState.ACTIVE)
     assert len({server for server, _ in states}) == 30
 
 
--- a/tests/test_standins.py
+++ b/tests/lab/test_standins.py
@@ -11,12 +11,11 @@
 
 import pytest
 
-from fleetlab import standins as st
-from fleetlab.standins.endpoint import Slot
-from fleetlab.standins.faults import SPOILT
-from glenchute.discovery import Discovery, News
-
-from .loopback import CUSTOMER, GET, Client, play, until
+from quota_gateway.lab import fakes as st
+from quota_gateway.lab.fakes.faults import SPOILT
+from quota_gateway.lab.fakes.loopback_server import Slot
+from quota_gateway.network.discovery.watch import Discovery, News
+from tests.network.loopback import CUSTOMER, GET, Client, play, until
 
 E = TypeVar("E", bound=st.Endpoint)
 INSTANT = st.ServerModel(service_ms=0.0)
@@ -261,7 +260,7 @@
 
 
 def test_servers_that_went_long_ago_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("fleetlab.standins.discovery.HISTORY", 3)
+    monkeypatch.setattr("quota_gateway.lab.fakes.discovery.HISTORY", 3)
     one = st.DiscoveryStandIn()
     for number in range(10):
         one.put(st.ServerRow(f"s{number}", "127.0.0.1:1"))
--- /dev/null
+++ b/tests/network/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the network code over loopback sockets."""
--- a/tests/loopback.py
+++ b/tests/network/loopback.py
@@ -10,14 +10,17 @@
 from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine, Iterator
 from contextlib import asynccontextmanager
 from dataclasses import replace
-from typing import Any
+from typing import Any, TypeVar
 
 import hiredis
 import uvloop
 
-from glenchute.__main__ import Config, Program, build
-from glenchute.gateway import Decisions
-from heathglade import interface as api
+from quota_gateway.network.__main__ import Config, Program, build
+from quota_gateway.network.bridge import Decisions
+from quota_gateway.policy_api.actions import Action, Fail, StartAttempt
+from quota_gateway.policy_api.events import AttemptCompleted, Event, Request
+
+E = TypeVar("E", bound=Event)
 
 CUSTOMER = b"00000000b4d65521"
 GET = b"c=read,t=basic,d=20000,units=2,spread=2,first=1"
@@ -218,12 +221,12 @@
 class Script:
     """Decisions made by a test: `decide` turns each event into actions. All events are kept."""
 
-    def __init__(self, decide: Callable[[api.Event], list[api.Action]]) -> None:
+    def __init__(self, decide: Callable[[Event], list[Action]]) -> None:
         self.decide = decide
-        self.events: list[api.Event] = []
+        self.events: list[Event] = []
         self.inside = False
 
-    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
         assert not self.inside, "the module was called from within a call"
         self.inside = True
         self.events.append(event)
@@ -231,18 +234,18 @@
         self.inside = False
         return actions
 
-    def of(self, kind: type[Any]) -> list[Any]:
+    def of(self, kind: type[E]) -> list[E]:
         return [event for event in self.events if isinstance(event, kind)]
 
 
-def send_to(server: str, timeout_ms: float = 0.0) -> Callable[[api.Event], list[api.Action]]:
+def send_to(server: str, timeout_ms: float = 0.0) -> Callable[[Event], list[Action]]:
     """Sends each request once; what was not served fails."""
 
-    def decide(event: api.Event) -> list[api.Action]:
-        if isinstance(event, api.Request):
-            return [api.Send(event.request_id, server, timeout_ms)]
-        if isinstance(event, api.AttemptEnded) and not event.final:
-            return [api.Fail(event.request_id)]
+    def decide(event: Event) -> list[Action]:
+        if isinstance(event, Request):
+            return [StartAttempt(event.request_id, server, timeout_ms)]
+        if isinstance(event, AttemptCompleted) and not event.request_completed:
+            return [Fail(event.request_id)]
         return []
 
     return decide
--- a/tests/test_descriptors.py
+++ b/tests/network/test_descriptors.py
@@ -14,10 +14,9 @@
 
 import pytest
 
-from glenchute.__main__ import RESERVED, budget
-from glenchute.counter import LINKS
-
-from .loopback import (
+from quota_gateway.network.__main__ import RESERVED, budget
+from quota_gateway.network.counter_client import LINKS
+from tests.network.loopback import (
     CUSTOMER,
     GET,
     SERVED,
@@ -31,7 +30,7 @@
     row,
     until,
 )
-from .test_peers import ROOT, patient
+from tests.network.test_peers import ROOT, patient
 
 
 def free_port() -> int:
@@ -51,7 +50,7 @@
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "glenchute",
+        "quota_gateway.network",
         cwd=ROOT,
         stderr=asyncio.subprocess.PIPE,
         preexec_fn=limit,
--- a/tests/test_discovery.py
+++ b/tests/network/test_discovery.py
@@ -12,11 +12,10 @@
 
 import pytest
 
-from glenchute import discovery as discovery_module
-from glenchute.discovery import TOLD_S, Discovery, Exchange
-from heathglade import interface as api
-
-from .loopback import DiscoveryPeer, Script, http, listing, play, row, site, until
+from quota_gateway.network.discovery import watch as discovery_module
+from quota_gateway.network.discovery.watch import TOLD_S, Discovery, Exchange
+from quota_gateway.policy_api.endpoints import EndpointUpdate
+from tests.network.loopback import DiscoveryPeer, Script, http, listing, play, row, site, until
 
 NEAR_S = 0.25  # a drain's grace
 
@@ -252,7 +251,7 @@
 def test_a_list_that_could_not_be_made_current_in_time_is_told_to_the_operators(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    caplog.set_level("INFO", "glenchute")
+    caplog.set_level("INFO", "quota_gateway")
     world = World(["good", *["busy"] * 5], 200, 1)
     world.clock.run(120.0)
     told = [record.getMessage() for record in caplog.records]
@@ -318,7 +317,7 @@
             discovery.writers[-1].transport.abort()
             await until(lambda: len(discovery.targets) == 4)
             discovery.answers += [b"", listing(5, [row("c", 82)], full=False)]
-            await until(lambda: len(script.of(api.ServerList)) == 3)
+            await until(lambda: len(script.of(EndpointUpdate)) == 3)
         since = [target.partition("since=")[2].partition("&")[0] for target in discovery.targets]
         assert since[:4] == ["1", "4", "4", "4"]
 
--- a/tests/test_ending.py
+++ b/tests/network/test_ending.py
@@ -8,12 +8,11 @@
 
 import pytest
 
-from glenchute import clients as clients_module
-from glenchute import servers as servers_module
-from glenchute.__main__ import leave_s
-from glenchute.clients import MOST_PENDING
-
-from .loopback import CUSTOMER, GET, SERVED, Reply, Script, always, play, send_to, site, until
+from quota_gateway.network import client_connection as clients_module
+from quota_gateway.network import server_pool as servers_module
+from quota_gateway.network.__main__ import leave_s
+from quota_gateway.network.client_connection import MOST_PENDING
+from tests.network.loopback import CUSTOMER, GET, SERVED, Reply, Script, always, play, send_to, site, until
 
 QUESTION = b"*4\r\n$8\r\nCALL.GET\r\n$16\r\n%b\r\n$1\r\n9\r\n$%d\r\n%b\r\n" % (CUSTOMER, len(GET), GET)
 
--- a/tests/test_gateway.py
+++ b/tests/network/test_gateway.py
@@ -7,11 +7,18 @@
 
 import pytest
 
-from glenchute.gateway import Clock, report
-from heathglade import interface as api
-from heathglade.interface import Ending
-
-from .loopback import (
+from quota_gateway.network.bridge import Clock, report
+from quota_gateway.policy_api.actions import Action, CancelAttempt, Fail, Reject, SetTimer, StartAttempt
+from quota_gateway.policy_api.endpoints import EndpointUpdate
+from quota_gateway.policy_api.events import (
+    AttemptCompleted,
+    CallOutcome,
+    ClientDisconnected,
+    Event,
+    Request,
+    TimerFired,
+)
+from tests.network.loopback import (
     CHARGE,
     CUSTOMER,
     GET,
@@ -48,46 +55,46 @@
     return None
 
 
-ENDINGS: list[tuple[Reply, Ending]] = [
-    (always(SERVED), Ending.OK),
-    (always(b"*3\r\n$0\r\n\r\n*-1\r\n$-1\r\n"), Ending.OK),
-    (always(b"*3\r\n$1\r\nv\r\n*1\r\n:7\r\n:5\r\n"), Ending.OK),
-    (always(SERVED + b"noise"), Ending.OK),
-    (always(b"*1\r\n$0\r\n\r\n"), Ending.ERROR),
-    (always(b"*4\r\n$1\r\nv\r\n$-1\r\n$-1\r\n$-1\r\n"), Ending.ERROR),
-    (always(b"*3\r\n$3\r\nvalue\r\n$-1\r\n$-1\r\n"), Ending.ERROR),
-    (always(b"*3\r\n$3\r\nvalXY$-1\r\n$-1\r\n"), Ending.ERROR),
-    (always(b"*3\r\n+value\r\n$-1\r\n$-1\r\n"), Ending.ERROR),
-    (always(b"*3\r\n$3000000000\r\n" + b"x" * 500), Ending.ERROR),
-    (always(b"*3\r\n$50\r\nvalue\r\n$-1\r\n$-1\r\n"), Ending.ERROR),  # and nothing more comes
-    (always(b"*3\r\n*999999999\r\n"), Ending.ERROR),
-    (always(b"-BUSY or not\r\n"), Ending.ERROR),
-    (always(b"-BUSY\r\nnoise"), Ending.ERROR),
-    (always(b"-BUSY queue=3,inflight=9\r\n"), Ending.FULL),
-    (always(b"-ERR failed queue=3,inflight=9\r\n"), Ending.ERROR),
-    (always(b"-SYNTAX no\r\n"), Ending.ERROR),
-    (always(b"-BUSY\r\n"), Ending.FULL),
-    (always(b"*3\r\n$-1\r\n*-1\r\n$-1\r\n"), Ending.ERROR),
-    (always(b"$5\r\nvalue\r\n"), Ending.ERROR),
-    (always(b"what is this?\r\n"), Ending.ERROR),
-    (hang_up, Ending.RESET),
-    (always(None), Ending.TIMEOUT),
+ENDINGS: list[tuple[Reply, CallOutcome]] = [
+    (always(SERVED), CallOutcome.OK),
+    (always(b"*3\r\n$0\r\n\r\n*-1\r\n$-1\r\n"), CallOutcome.OK),
+    (always(b"*3\r\n$1\r\nv\r\n*1\r\n:7\r\n:5\r\n"), CallOutcome.OK),
+    (always(SERVED + b"noise"), CallOutcome.OK),
+    (always(b"*1\r\n$0\r\n\r\n"), CallOutcome.ERROR),
+    (always(b"*4\r\n$1\r\nv\r\n$-1\r\n$-1\r\n$-1\r\n"), CallOutcome.ERROR),
+    (always(b"*3\r\n$3\r\nvalue\r\n$-1\r\n$-1\r\n"), CallOutcome.ERROR),
+    (always(b"*3\r\n$3\r\nvalXY$-1\r\n$-1\r\n"), CallOutcome.ERROR),
+    (always(b"*3\r\n+value\r\n$-1\r\n$-1\r\n"), CallOutcome.ERROR),
+    (always(b"*3\r\n$3000000000\r\n" + b"x" * 500), CallOutcome.ERROR),
+    (always(b"*3\r\n$50\r\nvalue\r\n$-1\r\n$-1\r\n"), CallOutcome.ERROR),  # and nothing more comes
+    (always(b"*3\r\n*999999999\r\n"), CallOutcome.ERROR),
+    (always(b"-BUSY or not\r\n"), CallOutcome.ERROR),
+    (always(b"-BUSY\r\nnoise"), CallOutcome.ERROR),
+    (always(b"-BUSY queue=3,inflight=9\r\n"), CallOutcome.REJECTED),
+    (always(b"-ERR failed queue=3,inflight=9\r\n"), CallOutcome.ERROR),
+    (always(b"-SYNTAX no\r\n"), CallOutcome.ERROR),
+    (always(b"-BUSY\r\n"), CallOutcome.REJECTED),
+    (always(b"*3\r\n$-1\r\n*-1\r\n$-1\r\n"), CallOutcome.ERROR),
+    (always(b"$5\r\nvalue\r\n"), CallOutcome.ERROR),
+    (always(b"what is this?\r\n"), CallOutcome.ERROR),
+    (hang_up, CallOutcome.RESET),
+    (always(None), CallOutcome.TIMEOUT),
 ]
 
 
 @pytest.mark.parametrize(("reply", "ending"), ENDINGS)
-def test_each_ending_is_told_once_as_the_protocol_reads_it(reply: Reply, ending: Ending) -> None:
+def test_each_ending_is_told_once_as_the_protocol_reads_it(reply: Reply, ending: CallOutcome) -> None:
     async def scenario() -> None:
         # The time-out is long enough not to cut in where an answer comes, on any machine.
-        script = Script(send_to("s0", 200.0 if ending is Ending.TIMEOUT else 0.0))
+        script = Script(send_to("s0", 200.0 if ending is CallOutcome.TIMEOUT else 0.0))
         async with site(reply, decisions=script) as one:
             client = await one.client()
             answer = await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)
-            ended = script.of(api.AttemptEnded)
-            assert [event.ending for event in ended] == [ending]
-            assert ended[0].final is (ending is Ending.OK)
-            assert isinstance(answer, bytes) is (ending is Ending.OK)
-            assert ended[0].took_ms >= 0.0
+            ended = script.of(AttemptCompleted)
+            assert [event.outcome for event in ended] == [ending]
+            assert ended[0].request_completed is (ending is CallOutcome.OK)
+            assert isinstance(answer, bytes) is (ending is CallOutcome.OK)
+            assert ended[0].duration_ms >= 0.0
 
     play(scenario())
 
@@ -99,7 +106,7 @@
             await one.servers[0].stop()
             client = await one.client()
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)) == "ERR failed"
-            assert [event.ending for event in script.of(api.AttemptEnded)] == [Ending.UNREACHABLE]
+            assert [event.outcome for event in script.of(AttemptCompleted)] == [CallOutcome.UNREACHABLE]
 
     play(scenario())
 
@@ -110,13 +117,13 @@
     async def scenario() -> None:
         seen: list[str] = []
 
-        def decide(event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.Request):
-                return [api.Send(event.request_id, "s0", 100.0)]
-            if isinstance(event, api.AttemptEnded) and not event.final:
+        def decide(event: Event) -> list[Action]:
+            if isinstance(event, Request):
+                return [StartAttempt(event.request_id, "s0", 100.0)]
+            if isinstance(event, AttemptCompleted) and not event.request_completed:
                 first = one.program.servers.pools["s0"].open
-                seen.append(f"{event.ending.value} with {len(first)} open")
-                return [api.Send(event.request_id, "s1", 0.0)]
+                seen.append(f"{event.outcome.value} with {len(first)} open")
+                return [StartAttempt(event.request_id, "s1", 0.0)]
             return []
 
         async with site(always(None), always(SERVED), decisions=Script(decide)) as one:
@@ -130,18 +137,18 @@
 
 def test_a_cancel_closes_the_connection_and_is_told_once() -> None:
     async def scenario() -> None:
-        def decide(event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.Request):
-                return [api.Send(event.request_id, "s0"), api.SetTimer(5, 0.0)]
-            if isinstance(event, api.TimerFired):
-                return [api.Cancel("1", 0)] if one.servers[0].calls() else [api.SetTimer(5, 0.0)]
-            return [api.Fail(event.request_id)] if isinstance(event, api.AttemptEnded) else []
+        def decide(event: Event) -> list[Action]:
+            if isinstance(event, Request):
+                return [StartAttempt(event.request_id, "s0"), SetTimer(5, 0.0)]
+            if isinstance(event, TimerFired):
+                return [CancelAttempt("1", 0)] if one.servers[0].calls() else [SetTimer(5, 0.0)]
+            return [Fail(event.request_id)] if isinstance(event, AttemptCompleted) else []
 
         script = Script(decide)
         async with site(always(None), decisions=script) as one:
             client = await one.client()
             assert str(await client.ask(b"CALL.POST", CUSTOMER, b"1", CHARGE)) == "ERR failed"
-            assert [event.ending for event in script.of(api.AttemptEnded)] == [Ending.CANCELLED]
+            assert [event.outcome for event in script.of(AttemptCompleted)] == [CallOutcome.CANCELLED]
             await until(lambda: ("closed", 1, []) in one.servers[0].log)
 
     play(scenario())
@@ -149,17 +156,19 @@
 
 def test_two_attempts_at_once_are_not_made() -> None:
     async def scenario() -> None:
-        def decide(event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.Request):
-                return [api.Send(event.request_id, "s0"), api.Send(event.request_id, "s1")]
+        def decide(event: Event) -> list[Action]:
+            if isinstance(event, Request):
+                return [StartAttempt(event.request_id, "s0"), StartAttempt(event.request_id, "s1")]
             return []
 
         script = Script(decide)
         async with site(always(None), always(SERVED), decisions=script) as one:
             client = await one.client()
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
-            await until(lambda: script.of(api.AttemptEnded))
-            assert [(e.attempt, e.ending) for e in script.of(api.AttemptEnded)] == [(1, Ending.UNSENT)]
+            await until(lambda: script.of(AttemptCompleted))
+            assert [(e.attempt, e.outcome) for e in script.of(AttemptCompleted)] == [
+                (1, CallOutcome.NOT_SENT)
+            ]
             assert one.servers[1].calls() == []
 
     play(scenario())
@@ -169,10 +178,10 @@
     """-BUSY promises that no try ran, whatever the module says."""
 
     async def scenario() -> None:
-        def decide(event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.Request):
-                return [api.Send(event.request_id, "s0")]
-            return [api.Refuse(event.request_id, 7.0)] if isinstance(event, api.AttemptEnded) else []
+        def decide(event: Event) -> list[Action]:
+            if isinstance(event, Request):
+                return [StartAttempt(event.request_id, "s0")]
+            return [Reject(event.request_id, 7.0)] if isinstance(event, AttemptCompleted) else []
 
         for reply, answer in ((b"-ERR failed\r\n", "ERR failed"), (b"-BUSY\r\n", "BUSY 7")):
             async with site(always(reply), decisions=Script(decide)) as one:
@@ -185,30 +194,30 @@
 @pytest.mark.parametrize(("sent", "answer"), [(False, "BUSY"), (True, "ERR failed")])
 def test_a_request_that_the_module_forgets_is_answered_at_its_deadline(sent: bool, answer: str) -> None:
     async def scenario() -> None:
-        def decide(event: api.Event) -> list[api.Action]:
-            return [api.Send(event.request_id, "s0")] if sent and isinstance(event, api.Request) else []
+        def decide(event: Event) -> list[Action]:
+            return [StartAttempt(event.request_id, "s0")] if sent and isinstance(event, Request) else []
 
         script = Script(decide)
         async with site(always(None), decisions=script) as one:
             client = await one.client()
             fields = CHARGE.replace(b"d=20000", b"d=300")
             assert str(await client.ask(b"CALL.POST", CUSTOMER, b"1", fields)) == answer
-            assert script.of(api.RequestGone) == [api.RequestGone("1")]
-            assert [e.ending for e in script.of(api.AttemptEnded)] == ([Ending.TIMEOUT] if sent else [])
+            assert script.of(ClientDisconnected) == [ClientDisconnected("1")]
+            assert [e.outcome for e in script.of(AttemptCompleted)] == ([CallOutcome.TIMEOUT] if sent else [])
 
     play(scenario())
 
 
 def test_a_fault_in_the_decisions_costs_nobody_the_answer() -> None:
     async def scenario() -> None:
-        def decide(event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.Request) and event.class_name == "read":
+        def decide(event: Event) -> list[Action]:
+            if isinstance(event, Request) and event.class_name == "read":
                 raise RuntimeError("a fault")
             return send_to("s0")(event)
 
         script = Script(decide)
 
-        def handle(now_ms: float, event: api.Event) -> list[api.Action]:
+        def handle(now_ms: float, event: Event) -> list[Action]:
             script.events.append(event)
             return decide(event)
 
@@ -236,7 +245,7 @@
             for name in (b"1", b"2", b"3"):
                 client.send(b"CALL.GET", CUSTOMER, name, GET)
             client.send(b"PING")
-            await until(lambda: len(script.of(api.AttemptEnded)) == 2)
+            await until(lambda: len(script.of(AttemptCompleted)) == 2)
             release.set()
             assert [await client.reply() for _ in range(4)] == [b"1", b"2", b"3", b"PONG"]
 
@@ -251,7 +260,7 @@
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
             await until(lambda: one.servers[0].calls())
             client.writer.close()
-            await until(lambda: script.of(api.RequestGone))
+            await until(lambda: script.of(ClientDisconnected))
             assert one.program.gateway.live == {}
 
     play(scenario())
@@ -261,10 +270,10 @@
     async def scenario() -> None:
         fired: list[float] = []
 
-        def decide(event: api.Event) -> list[api.Action]:
-            if isinstance(event, api.ServerList) and not script.of(api.ServerList)[1:]:
-                return [api.SetTimer(3, one_clock.now() + 5.0)]
-            if isinstance(event, api.TimerFired):
+        def decide(event: Event) -> list[Action]:
+            if isinstance(event, EndpointUpdate) and not script.of(EndpointUpdate)[1:]:
+                return [SetTimer(3, one_clock.now() + 5.0)]
+            if isinstance(event, TimerFired):
                 fired.append(one_clock.now())
             return []
 
@@ -273,7 +282,7 @@
         async with site(decisions=script):
             await until(lambda: fired)
             assert fired[0] >= start + 5.0
-            assert script.of(api.TimerFired) == [api.TimerFired(3)]
+            assert script.of(TimerFired) == [TimerFired(3)]
 
     play(scenario())
 
--- a/tests/test_leaving.py
+++ b/tests/network/test_leaving.py
@@ -12,10 +12,10 @@
 
 import hiredis
 
-from heathglade import interface as api
-from heathglade.interface import Count, Ending, Request, Send
-
-from .loopback import (
+from quota_gateway.policy_api.actions import IncrementCounter, StartAttempt
+from quota_gateway.policy_api.endpoints import EndpointUpdate, UpdateKind
+from quota_gateway.policy_api.events import AttemptCompleted, CallOutcome, ClientDisconnected, Request
+from tests.network.loopback import (
     CUSTOMER,
     GET,
     DiscoveryPeer,
@@ -27,7 +27,7 @@
     site,
     until,
 )
-from .rig import SETTINGS, Rig, entries, only, with_
+from tests.policy.scripted_gateway import SETTINGS, Rig, entries, only, with_
 
 
 @contextmanager
@@ -66,11 +66,11 @@
                 client.send(b"CALL.GET", CUSTOMER, b"1", GET)
                 await until(lambda: one.program.servers.connecting)
                 client.writer.close()
-                await until(lambda: script.of(api.RequestGone))
+                await until(lambda: script.of(ClientDisconnected))
                 coming = asyncio.ensure_future(heard(server))
-                await until(lambda: script.of(api.AttemptEnded) or coming.done())
+                await until(lambda: script.of(AttemptCompleted) or coming.done())
                 # Told as never sent: that a client left says nothing of the server.
-                assert [e.ending for e in script.of(api.AttemptEnded)] == [Ending.UNSENT]
+                assert [e.outcome for e in script.of(AttemptCompleted)] == [CallOutcome.NOT_SENT]
                 assert not one.program.gateway.out
                 assert not one.program.servers.pools["s9"].open
                 coming.cancel()
@@ -112,28 +112,28 @@
 
 
 def test_a_request_whose_client_left_before_its_word_comes_off_the_count_and_is_not_sent() -> None:
-    rig = Rig(entries(4), with_(SETTINGS, gateways=300))
-    (call,) = only(rig.feed(Request("r", "read", "rate", "c", 3000.0, 2.0, 200)), Count)
-    assert not rig.feed(api.RequestGone("r"))
+    rig = Rig(entries(4), with_(SETTINGS, gateway_count=300))
+    (call,) = only(rig.feed(Request("r", "read", "rate", "c", 3000.0, 2.0, 200)), IncrementCounter)
+    assert not rig.feed(ClientDisconnected("r"))
     actions = rig.answer(call)
-    assert [(a.name, a.amount) for a in only(actions, Count)] == [(call.name, -call.amount)]
-    assert not only(actions, Send)
+    assert [(a.key, a.amount) for a in only(actions, IncrementCounter)] == [(call.key, -call.amount)]
+    assert not only(actions, StartAttempt)
     assert not rig.gateway.left
 
 
 def test_a_held_request_whose_client_left_is_not_sent_when_a_server_comes_up() -> None:
     rig = Rig(settings=SETTINGS)
     name, actions = rig.ask()
-    assert not only(actions, Send)
+    assert not only(actions, StartAttempt)
     assert rig.gateway.held == [name]
-    rig.feed(api.RequestGone(name))
-    actions = rig.feed(api.ServerList(api.ListKind.FULL, entries(4))) + rig.advance(1000.0)
-    assert not only(actions, Send)
+    rig.feed(ClientDisconnected(name))
+    actions = rig.feed(EndpointUpdate(UpdateKind.SNAPSHOT, entries(4))) + rig.advance(1000.0)
+    assert not only(actions, StartAttempt)
 
 
 def test_no_further_attempt_is_made_for_a_client_that_left() -> None:
     rig = Rig(entries(4))
     name, actions = rig.ask()
-    assert only(actions, Send)
-    rig.feed(api.RequestGone(name))
-    assert not only(rig.end(name, 0, Ending.ERROR) + rig.advance(1000.0), Send)
+    assert only(actions, StartAttempt)
+    rig.feed(ClientDisconnected(name))
+    assert not only(rig.end(name, 0, CallOutcome.ERROR) + rig.advance(1000.0), StartAttempt)
--- a/tests/test_long_lists.py
+++ b/tests/network/test_long_lists.py
@@ -10,10 +10,9 @@
 
 import pytest
 
-from glenchute.discovery import LONG_BODY, STEP, ListError, LongList, read_list
-from heathglade import interface as api
-
-from .loopback import (
+from quota_gateway.network.discovery.watch import LONG_BODY, STEP, ListError, LongList, read_list
+from quota_gateway.policy_api.endpoints import EndpointUpdate
+from tests.network.loopback import (
     CUSTOMER,
     GET,
     SERVED,
@@ -119,8 +118,8 @@
             await until(lambda: len(gateway.servers.pools) >= active)
             assert turns - before >= 2 * MANY // STEP
             assert any(1 < pools < active for pools in served)  # a request was served in the middle of it
-            taken = script.of(api.ServerList)
-            assert max(len(news.entries) for news in taken) <= STEP
+            taken = script.of(EndpointUpdate)
+            assert max(len(news.endpoints) for news in taken) <= STEP
             for task in tasks:
                 task.cancel()
 
--- a/tests/test_peers.py
+++ b/tests/network/test_peers.py
@@ -13,17 +13,17 @@
 
 import pytest
 
-from glenchute import clients as clients_module
-from glenchute import counter as counter_module
-from glenchute import discovery as discovery_module
-from glenchute import servers as servers_module
-from glenchute.clients import MOST_PENDING
-from glenchute.counter import Counter
-from glenchute.discovery import ListError, read_list
-from heathglade import interface as api
-from heathglade.interface import Ending
-
-from .loopback import (
+from quota_gateway.network import client_connection as clients_module
+from quota_gateway.network import counter_client as counter_module
+from quota_gateway.network import server_pool as servers_module
+from quota_gateway.network.client_connection import MOST_PENDING
+from quota_gateway.network.counter_client import Counter
+from quota_gateway.network.discovery import watch as discovery_module
+from quota_gateway.network.discovery.watch import ListError, read_list
+from quota_gateway.policy_api.actions import Action
+from quota_gateway.policy_api.endpoints import EndpointUpdate, UpdateKind
+from quota_gateway.policy_api.events import AttemptCompleted, CallOutcome, Event, Request
+from tests.network.loopback import (
     CHARGE,
     CUSTOMER,
     GET,
@@ -44,7 +44,7 @@
     until,
 )
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 
 
 # --- clients ---------------------------------------------------------------------------------------------
@@ -98,7 +98,7 @@
             client = await one.client()
             for words, text in BAD:
                 assert text in str(await client.ask(*words)), words
-            assert script.of(api.Request) == []
+            assert script.of(Request) == []
             assert await client.ask(b"CLIENT", b"SETNAME", b"x") == b"OK"
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             assert len(one.servers[0].calls()) == 1
@@ -173,7 +173,7 @@
             client = await one.client()
             fields = b"c=read,t=basic,d=999999999"
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", fields) == b"value"
-            assert [event.time_left_ms for event in script.of(api.Request)] == [20_000.0]
+            assert [event.time_left_ms for event in script.of(Request)] == [20_000.0]
 
     play(scenario())
 
@@ -266,7 +266,7 @@
             client = await one.client()
             for number in range(3 * MOST_PENDING):
                 client.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
-            await until(lambda: len(script.of(api.Request)) >= MOST_PENDING)
+            await until(lambda: len(script.of(Request)) >= MOST_PENDING)
             assert len(one.program.gateway.live) == MOST_PENDING
             release.set()
             assert {await client.reply() for _ in range(3 * MOST_PENDING)} == {b"value"}
@@ -411,8 +411,8 @@
             def grace_ends() -> None:
                 pool.stop_at = one.program.loop.time() - 1.0
 
-            def and_drain(event: api.Event) -> list[api.Action]:
-                if isinstance(event, api.Request):
+            def and_drain(event: Event) -> list[Action]:
+                if isinstance(event, Request):
                     pool.stop()  # within its grace as the attempt starts, past it when the connection is up
                     one.program.loop.call_soon(grace_ends)
                 return decide(event)
@@ -420,7 +420,7 @@
             script.decide = and_drain
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
             assert str(await client.reply()) == "ERR failed"
-            assert [e.ending for e in script.of(api.AttemptEnded)] == [Ending.UNREACHABLE]
+            assert [e.outcome for e in script.of(AttemptCompleted)] == [CallOutcome.UNREACHABLE]
             assert one.servers[0].calls() == []
 
     play(scenario())
@@ -438,7 +438,7 @@
             discovery.answers.append(listing(2, [row("s0", port, "Gone")], full=False))
             await until(lambda: ("closed", 1, []) in one.servers[0].log)
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"2", GET)) == "ERR failed"
-            assert script.of(api.AttemptEnded)[-1].ending is Ending.UNREACHABLE
+            assert script.of(AttemptCompleted)[-1].outcome is CallOutcome.UNREACHABLE
             assert not one.program.gateway.started_ms
             assert not one.program.servers.pools
 
@@ -452,8 +452,8 @@
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
             return None if words[2] == b"mute" else SERVED
 
-        def decide(event: api.Event) -> list[api.Action]:
-            quick = isinstance(event, api.Request) and len(script.of(api.Request)) == 3
+        def decide(event: Event) -> list[Action]:
+            quick = isinstance(event, Request) and len(script.of(Request)) == 3
             return send_to("s0", 300.0 if quick else 0.0)(event)
 
         script = Script(decide)
@@ -468,7 +468,7 @@
             assert len(pool.idle) == 2
             one.program.servers.sweeper.cancel()  # or the idle limit would close them too, later
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"mute", GET)) == "ERR failed"
-            assert script.of(api.AttemptEnded)[-1].ending is Ending.TIMEOUT
+            assert script.of(AttemptCompleted)[-1].outcome is CallOutcome.TIMEOUT
             await until(lambda: not pool.open)
 
     play(scenario())
@@ -483,8 +483,8 @@
             client = await one.client()
             for number in range(20):
                 client.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
-            await until(lambda: len(script.of(api.AttemptEnded)) == 15 and len(one.servers[0].calls()) == 5)
-            assert {event.ending for event in script.of(api.AttemptEnded)} == {Ending.UNREACHABLE}
+            await until(lambda: len(script.of(AttemptCompleted)) == 15 and len(one.servers[0].calls()) == 5)
+            assert {event.outcome for event in script.of(AttemptCompleted)} == {CallOutcome.UNREACHABLE}
             assert servers.count() == 5
 
     play(scenario())
@@ -508,13 +508,13 @@
         await peer.start()
         loop = asyncio.get_running_loop()
         made = Counter(loop, ("127.0.0.1", peer.port), 0.05)
-        ends: list[tuple[int, float, Ending]] = []
+        ends: list[tuple[int, float, CallOutcome]] = []
 
         def call(name: int) -> None:
             made.call(name, 1.5, 4000.0, lambda total, ending, took: ends.append((name, total, ending)))
 
         call(2)
-        assert ends == [(2, 0.0, Ending.UNREACHABLE)]  # not connected yet: nothing was added
+        assert ends == [(2, 0.0, CallOutcome.UNREACHABLE)]  # not connected yet: nothing was added
         await until(lambda: all(link.ready() for link in made.links))
         call(2)
         await until(lambda: len(ends) == 2)
@@ -523,7 +523,11 @@
         call(6)
         release.set()
         await until(lambda: len(ends) == 4)
-        assert ends[1:] == [(2, 0.0, Ending.TIMEOUT), (4, 4.0, Ending.OK), (6, 0.0, Ending.FULL)]
+        assert ends[1:] == [
+            (2, 0.0, CallOutcome.TIMEOUT),
+            (4, 4.0, CallOutcome.OK),
+            (6, 0.0, CallOutcome.REJECTED),
+        ]
         assert peer.calls()[0] == [b"INCRTTL", b"2", b"1.500", b"4000"]
         made.close()
         await peer.stop()
@@ -548,13 +552,13 @@
         peer = RespPeer(reply)
         await peer.start()
         made = Counter(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
-        ends: list[tuple[float, Ending]] = []
+        ends: list[tuple[float, CallOutcome]] = []
         for _ in range(2):
             await until(lambda: all(link.ready() for link in made.links))
             made.call(2, 1.0, 1.0, lambda total, ending, took: ends.append((total, ending)))
             count = len(ends)
             await until(lambda: len(ends) > count)  # noqa: B023
-        assert ends == [(0.0, Ending.TIMEOUT), (3.0, Ending.OK)]
+        assert ends == [(0.0, CallOutcome.TIMEOUT), (3.0, CallOutcome.OK)]
         assert len(peer.calls()) == 2  # the first was not repeated
         made.close()
         await peer.stop()
@@ -588,13 +592,13 @@
         peer = RespPeer(reply)
         await peer.start()
         made = Counter(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
-        ends: list[tuple[float, Ending]] = []
+        ends: list[tuple[float, CallOutcome]] = []
         for _ in range(2):
             await until(lambda: all(link.ready() for link in made.links))
             made.call(5, 1.0, 1.0, lambda total, ending, took: ends.append((total, ending)))
             count = len(ends)
             await until(lambda: len(ends) > count)  # noqa: B023
-        assert ends == [(0.0, Ending.TIMEOUT), (4.5, Ending.OK)]
+        assert ends == [(0.0, CallOutcome.TIMEOUT), (4.5, CallOutcome.OK)]
         assert len(peer.writers) == counter_module.LINKS + 1
         made.close()
         await peer.stop()
@@ -688,13 +692,13 @@
         script = Script(lambda event: [])
         async with site(decisions=script, discovery=discovery):
             await until(lambda: len(discovery.targets) == 11)
-            told = [(e.kind, [x.server for x in e.entries]) for e in script.of(api.ServerList)]
+            told = [(e.kind, [x.server_id for x in e.endpoints]) for e in script.of(EndpointUpdate)]
             assert told == [
-                (api.ListKind.SAVED, []),
-                (api.ListKind.FULL, ["a", "b"]),
-                (api.ListKind.CHANGES, ["a"]),
-                (api.ListKind.FULL, ["a"]),
-                (api.ListKind.CHANGES, ["c"]),
+                (UpdateKind.CACHED_SNAPSHOT, []),
+                (UpdateKind.SNAPSHOT, ["a", "b"]),
+                (UpdateKind.DELTA, ["a"]),
+                (UpdateKind.SNAPSHOT, ["a"]),
+                (UpdateKind.DELTA, ["c"]),
             ]
             since = [target.partition("since=")[2].partition("&")[0] for target in discovery.targets]
             assert since == ["1", "1", "", "", "", "5", "5", "9", "", "3", "4"]
@@ -738,7 +742,7 @@
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "glenchute",
+        "quota_gateway.network",
         cwd=ROOT,
         stderr=asyncio.subprocess.PIPE,
         env={**os.environ, "EDGE_CONFIG": str(path), **environ},
@@ -758,7 +762,7 @@
         process = await start(path)
         _, err = await process.communicate()
         assert process.returncode == 2
-        assert err.startswith(b"glenchute: ")
+        assert err.startswith(b"quota-gateway: ")
         assert err.count(b"\n") == 1
 
     play(scenario())
@@ -876,7 +880,7 @@
         await old.start()
         await new.start()
         made = Counter(asyncio.get_running_loop(), ("127.0.0.1", old.port), 30.0)
-        ends: list[tuple[int, float, Ending]] = []
+        ends: list[tuple[int, float, CallOutcome]] = []
 
         def call(name: int) -> None:
             made.call(name, 1.0, 1.0, lambda total, ending, took: ends.append((name, total, ending)))
@@ -889,11 +893,11 @@
         await until(lambda: all(link.ready() for link in made.links))
         call(4)  # its old call ends now: answers for one name keep their order
         await until(lambda: len(ends) == 2)
-        assert ends == [(4, 0.0, Ending.TIMEOUT), (4, 3.0, Ending.OK)]
+        assert ends == [(4, 0.0, CallOutcome.TIMEOUT), (4, 3.0, CallOutcome.OK)]
         release.set()
         await until(lambda: len(ends) == 3)
         await until(lambda: [what for what, *_ in old.log].count("closed") == counter_module.LINKS)
-        assert ends[2] == (2, 7.0, Ending.OK)
+        assert ends[2] == (2, 7.0, CallOutcome.OK)
         assert len(new.calls()) == 1
         made.close()
         await old.stop()
--- a/tests/test_start.py
+++ b/tests/network/test_start.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from .loopback import DiscoveryPeer, RespPeer, always, listing, play, raw_config, row
-from .test_descriptors import free_port, limited
-from .test_peers import patient
+from tests.network.loopback import DiscoveryPeer, RespPeer, always, listing, play, raw_config, row
+from tests.network.test_descriptors import free_port, limited
+from tests.network.test_peers import patient
 
 READY_S = 10.0  # nine in ten restarted processes are ready within this
 LEAST_SHARE = 0.1  # of a core; a start may thus take a second of processor time
--- /dev/null
+++ b/tests/policy/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the policy, from scripted events."""
