--- a/tests/test_large_fleet.py
+++ b/tests/policy/test_large_fleet.py
@@ -4,16 +4,17 @@
 
 import pytest
 
-from heathglade.interface import AttemptEnded, Ending, ListKind, Send, ServerEntry, ServerList
+from quota_gateway.policy_api.actions import StartAttempt
+from quota_gateway.policy_api.endpoints import Endpoint, EndpointUpdate, UpdateKind
+from quota_gateway.policy_api.events import AttemptCompleted, CallOutcome
+from tests.policy.scripted_gateway import SETTINGS, Rig, entries, only, with_
 
-from .rig import SETTINGS, Rig, entries, only, with_
-
-FORTY = with_(SETTINGS, gateways=40)
+FORTY = with_(SETTINGS, gateway_count=40)
 
 
 def arrive(rig: Rig, *names: str) -> None:
     """Servers that have just started come onto the list."""
-    rig.feed(ServerList(ListKind.CHANGES, tuple(ServerEntry(n, "a", started_ms=rig.now) for n in names)))
+    rig.feed(EndpointUpdate(UpdateKind.DELTA, tuple(Endpoint(n, "a", started_ms=rig.now) for n in names)))
 
 
 def serve(rig: Rig, count: int, gap_ms: float = 50.0, units: float = 1.0) -> list[str]:
@@ -22,9 +23,9 @@
     went = []
     for _ in range(count):
         name, actions = rig.ask(units=units)
-        if only(actions, Send):
+        if only(actions, StartAttempt):
             went.append(rig.sent[name][0])
-            rig.end(name, 0, Ending.OK, usual)
+            rig.end(name, 0, CallOutcome.OK, usual)
         rig.advance(gap_ms)
         rig.answer_calls()
     return went
@@ -46,7 +47,7 @@
         rig = Rig(entries(4), FORTY)
         arrive(rig, *(f"cold{i}" for i in range(count)))
         for i in range(40):  # what the warm ones answer is the same
-            ended = AttemptEnded(f"r{i}", 0, f"s{i % 4}", Ending.OK, 20.0, True)
+            ended = AttemptCompleted(f"r{i}", 0, f"s{i % 4}", CallOutcome.OK, 20.0, True)
             rig.gateway.fleet.ended(rig.now, ended, FORTY.classes[0], 1.0)
             rig.now += 50.0
         turns.append(rig.gateway.fleet.slow_start_rate(0.25))
@@ -66,7 +67,7 @@
         went: list[str] = []
         while went != ["cold"] and rig.serial < 200:  # a large one does not take every turn
             cold.credit, cold.credit_at = 0.0, rig.now  # its turn has just come
-            went = [send.server for send in only(rig.ask(units=units)[1], Send)]
+            went = [send.server_id for send in only(rig.ask(units=units)[1], StartAttempt)]
         assert went == ["cold"]
         waits.append(-cold.credit / rig.gateway.fleet.slow_start_rate(0.25))
     assert waits[1] > 4.0 * waits[0]
@@ -77,22 +78,24 @@
     """Warm ones answer at what they can do at most, and the cold one starts as cold as any can be."""
     cold = warm = 0
     gap = 100.0
-    for seed in range(FORTY.gateways):
+    for seed in range(FORTY.gateway_count):
         rig = Rig(entries(servers), FORTY, seed=seed)
         rig.warm_up()
         arrive(rig, "cold")
         went = serve(rig, 10, gap)  # for a second, in which it warms by little
         cold += went.count("cold")
         warm += len(went) - went.count("cold")
-    budget = FORTY.safety.overload_factor * (FORTY.safety.cold_share + 0.1) * warm / servers
+    budget = (
+        FORTY.slow_start.overload_factor * (FORTY.slow_start.initial_capacity_share + 0.1) * warm / servers
+    )
     assert cold <= 0.8 * budget
 
 
-def parts(servers: tuple[ServerEntry, ...]) -> list[set[str]]:
+def parts(servers: tuple[Endpoint, ...]) -> list[set[str]]:
     """The servers that each of forty gateways keeps to."""
     kept = []
     for number in range(40):
-        fleet = Rig(servers, with_(FORTY, number=number)).gateway.fleet
+        fleet = Rig(servers, with_(FORTY, gateway_index=number)).gateway.fleet
         kept.append(set(fleet.subset))
     return kept
 
@@ -117,7 +120,7 @@
 
 def test_a_server_that_is_replaced_moves_a_part_by_little() -> None:
     before = parts(entries(60))
-    after = parts((*entries(60)[1:], ServerEntry("new", "a")))
+    after = parts((*entries(60)[1:], Endpoint("new", "a")))
     assert max(len(old - new) for old, new in zip(before, after, strict=True)) <= 2
 
 
@@ -145,7 +148,7 @@
     """Fewer gateways send to it, each at the rate of a server of its part; the sum stays the same."""
     cold = warm = takers = 0
     for number in range(40):
-        rig = Rig(entries(59), with_(FORTY, number=number), seed=number)
+        rig = Rig(entries(59), with_(FORTY, gateway_index=number), seed=number)
         serve(rig, 60)
         arrive(rig, "cold")
         rig.advance(10.0)
--- a/tests/test_quota_fleet.py
+++ b/tests/policy/test_quota_fleet.py
@@ -7,23 +7,12 @@
 
 import pytest
 
-from heathglade.interface import (
-    AttemptEnded,
-    Count,
-    CountReply,
-    Ending,
-    ListKind,
-    Plan,
-    Request,
-    Send,
-    ServerList,
-    SetTimer,
-    Settings,
-    TimerFired,
-)
-from heathglade.policy import Gateway
-
-from .rig import SETTINGS, entries, with_
+from quota_gateway.policy.gateway import Gateway
+from quota_gateway.policy_api.actions import IncrementCounter, SetTimer, StartAttempt
+from quota_gateway.policy_api.endpoints import EndpointUpdate, UpdateKind
+from quota_gateway.policy_api.events import AttemptCompleted, CallOutcome, CounterReply, Request, TimerFired
+from quota_gateway.settings import Plan, Settings
+from tests.policy.scripted_gateway import SETTINGS, entries, with_
 
 RATE, BURST = 2.0, 6.0  # of the plan "rate"
 CALL_MS = 12.0  # from a call to its answer; the counter takes it half way
@@ -33,15 +22,15 @@
     """Gateways on one counter, on a clock of its own. All that happens is in one line, by its time."""
 
     def __init__(self, gateways: int, settings: Settings = SETTINGS) -> None:
-        made = with_(settings, gateways=gateways)
-        self.gateways = [Gateway(with_(made, number=i), seed=i) for i in range(gateways)]
+        made = with_(settings, gateway_count=gateways)
+        self.gateways = [Gateway(with_(made, gateway_index=i), seed=i) for i in range(gateways)]
         self.now, self.serial = 1_000_000.0, 0
         self.due: list[tuple[float, int, int, object]] = []
         self.totals: dict[int, tuple[float, float]] = {}  # by name: total, and when it is forgotten
         self.sent: list[tuple[float, str, float]] = []
         self.units: dict[str, float] = {}
         for i in range(gateways):
-            self.feed(i, ServerList(ListKind.SAVED, entries(4)))
+            self.feed(i, EndpointUpdate(UpdateKind.CACHED_SNAPSHOT, entries(4)))
 
     def at(self, after: float, gateway: int, what: object) -> None:
         self.serial += 1
@@ -57,11 +46,11 @@
         for action in self.gateways[gateway].handle(self.now, event):  # type: ignore[arg-type]
             if isinstance(action, SetTimer):
                 self.at(action.at_ms - self.now, gateway, TimerFired(action.token))
-            elif isinstance(action, Count):
+            elif isinstance(action, IncrementCounter):
                 self.at(0.5 * CALL_MS, gateway, action)
-            elif isinstance(action, Send):
+            elif isinstance(action, StartAttempt):
                 self.sent.append((self.now, action.request_id, self.units[action.request_id]))
-                done = AttemptEnded(action.request_id, 0, action.server, Ending.OK, 20.0, True)
+                done = AttemptCompleted(action.request_id, 0, action.server_id, CallOutcome.OK, 20.0, True)
                 self.at(20.0, gateway, done)
 
     def run(self, ms: float) -> None:
@@ -69,12 +58,12 @@
         end = self.now + ms
         while self.due and self.due[0][0] <= end:
             self.now, _, gateway, what = heapq.heappop(self.due)
-            if isinstance(what, Count):
-                total, until = self.totals.get(what.name, (0.0, 0.0))
+            if isinstance(what, IncrementCounter):
+                total, until = self.totals.get(what.key, (0.0, 0.0))
                 if until <= self.now:
                     total, until = 0.0, self.now + what.ttl_ms
-                self.totals[what.name] = total + what.amount, until
-                answer = CountReply(what.name, total + what.amount, Ending.OK, CALL_MS)
+                self.totals[what.key] = total + what.amount, until
+                answer = CounterReply(what.key, total + what.amount, CallOutcome.OK, CALL_MS)
                 self.at(0.5 * CALL_MS, gateway, answer)
             else:
                 self.feed(gateway, what)
@@ -151,7 +140,9 @@
     """A customer's first requests put right a count that lags by all that has filled the store since the
     window began; the others took that for 20 times the quota, and refused a customer at half of it."""
     rate, burst = 10.0, 20.0
-    fleet = Fleet(gateways, with_(SETTINGS, plans=(Plan("rate", rate=rate, burst=burst, beyond_cost=0.5),)))
+    fleet = Fleet(
+        gateways, with_(SETTINGS, plans=(Plan("rate", rate=rate, burst=burst, over_quota_cost=0.5),))
+    )
     rng = random.Random(1)
     asked, most = 0, 0.0
     for i in range(40):
--- a/tests/test_ramp.py
+++ b/tests/policy/test_ramp.py
@@ -18,23 +18,12 @@
 
 import pytest
 
-from heathglade.interface import (
-    AttemptEnded,
-    Ending,
-    Event,
-    ListKind,
-    Request,
-    Safety,
-    Send,
-    ServerEntry,
-    ServerList,
-    SetTimer,
-    Settings,
-    TimerFired,
-)
-from heathglade.policy import Gateway
-
-from .rig import SETTINGS, Rig, entries, with_
+from quota_gateway.policy.gateway import Gateway
+from quota_gateway.policy_api.actions import SetTimer, StartAttempt
+from quota_gateway.policy_api.endpoints import Endpoint, EndpointUpdate, UpdateKind
+from quota_gateway.policy_api.events import AttemptCompleted, CallOutcome, Event, Request, TimerFired
+from quota_gateway.settings import Settings, SlowStartSettings
+from tests.policy.scripted_gateway import SETTINGS, Rig, entries, with_
 
 CAPACITY = 20.0  # requests of mean work that a warm server answers in a second
 LULL_MS = 4500.0
@@ -44,9 +33,15 @@
 LEARN_MS = 5_000.0  # traffic before the cold server comes
 CLASSES = ("read", "read", "order", "bid")
 SAFETIES = {
-    "short": Safety(cold_share=0.25, warm_ms=10_000.0, overload_factor=2.0, overload_ms=1000.0),
-    "slow": Safety(cold_share=0.2, warm_ms=60_000.0, overload_factor=2.0, overload_ms=1000.0),
-    "long": Safety(cold_share=0.2, warm_ms=15_000.0, overload_factor=3.0, overload_ms=2500.0),
+    "short": SlowStartSettings(
+        initial_capacity_share=0.25, warm_up_ms=10_000.0, overload_factor=2.0, overload_window_ms=1000.0
+    ),
+    "slow": SlowStartSettings(
+        initial_capacity_share=0.2, warm_up_ms=60_000.0, overload_factor=2.0, overload_window_ms=1000.0
+    ),
+    "long": SlowStartSettings(
+        initial_capacity_share=0.2, warm_up_ms=15_000.0, overload_factor=3.0, overload_window_ms=2500.0
+    ),
 }
 
 
@@ -55,7 +50,7 @@
     """What the gateways meet."""
 
     gateways: int
-    safety: Safety = SAFETIES["short"]
+    safety: SlowStartSettings = SAFETIES["short"]
     warm: int = 8  # servers beside the cold one
     load: Callable[[float, int], float] = lambda now, gateway: 0.95  # of what warm servers can do
     units: Callable[[random.Random, int], float] = lambda rng, gateway: 1.0
@@ -68,7 +63,7 @@
 class Machine:
     """A modelled server."""
 
-    entry: ServerEntry
+    entry: Endpoint
     free_at: float = 0.0
 
 
@@ -92,25 +87,25 @@
         self.order = itertools.count()
         settings = with_(
             SETTINGS,
-            gateways=self.trial.gateways,
-            safety=self.trial.safety,
-            counter=False,
-            max_requests=100_000,
-            classes=tuple(replace(cls, aim_ms=AIM_MS) for cls in SETTINGS.classes),
+            gateway_count=self.trial.gateways,
+            slow_start=self.trial.safety,
+            counter_enabled=False,
+            max_pending_requests=100_000,
+            classes=tuple(replace(cls, latency_objective_ms=AIM_MS) for cls in SETTINGS.classes),
         )
         self.cold_at = self.now if self.trial.restarted else self.now + LEARN_MS
-        warm = tuple(ServerEntry(f"s{i}", "a") for i in range(self.trial.warm))
-        cold = ServerEntry("cold", "a", started_ms=self.cold_at)
-        self.machines = {entry.server: Machine(entry) for entry in (*warm, cold)}
+        warm = tuple(Endpoint(f"s{i}", "a") for i in range(self.trial.warm))
+        cold = Endpoint("cold", "a", started_ms=self.cold_at)
+        self.machines = {entry.server_id: Machine(entry) for entry in (*warm, cold)}
         self.gateways = [self.begin(settings, number) for number in range(self.trial.gateways)]
         saved = (*warm, cold) if self.trial.restarted else warm
         for gateway in self.gateways:
-            self.push(self.now, gateway, ServerList(ListKind.SAVED, saved))
+            self.push(self.now, gateway, EndpointUpdate(UpdateKind.CACHED_SNAPSHOT, saved))
             if not self.trial.restarted:
-                self.push(self.cold_at, gateway, ServerList(ListKind.CHANGES, (cold,)))
+                self.push(self.cold_at, gateway, EndpointUpdate(UpdateKind.DELTA, (cold,)))
 
     def begin(self, settings: Settings, number: int) -> Gateway:
-        made: Settings = with_(settings, number=number)
+        made: Settings = with_(settings, gateway_index=number)
         return Gateway(made, seed=self.seed * 1000 + number)
 
     def push(self, at: float, gateway: Gateway, event: Event) -> None:
@@ -131,45 +126,47 @@
                     self.push(at, gateway, Request(name, cls, "none", f"c{number}", 2000.0, units))
 
     def run(self, seconds: float) -> None:
-        until = self.cold_at + min(1000.0 * seconds, 0.98 * self.trial.safety.warm_ms)
+        until = self.cold_at + min(1000.0 * seconds, 0.98 * self.trial.safety.warm_up_ms)
         self.arrivals(until)
         while self.queue and self.queue[0][0] < until:
             self.now, _, gateway, event = heapq.heappop(self.queue)
             for action in gateway.handle(self.now, event):
                 if isinstance(action, SetTimer):
                     self.push(action.at_ms, gateway, TimerFired(action.token))
-                elif isinstance(action, Send):
+                elif isinstance(action, StartAttempt):
                     self.serve(gateway, action)
 
-    def warmth(self, entry: ServerEntry, at: float) -> float:
+    def warmth(self, entry: Endpoint, at: float) -> float:
         if not entry.started_ms:
             return 1.0
         safety = self.trial.safety
-        age = (at - entry.started_ms) / safety.warm_ms
-        return min(1.0, safety.cold_share + (1.0 - safety.cold_share) * age)
+        age = (at - entry.started_ms) / safety.warm_up_ms
+        return min(1.0, safety.initial_capacity_share + (1.0 - safety.initial_capacity_share) * age)
 
-    def serve(self, gateway: Gateway, send: Send) -> None:
+    def serve(self, gateway: Gateway, send: StartAttempt) -> None:
         """One attempt: turned away, failed, timed out or answered."""
-        machine = self.machines[send.server]
+        machine = self.machines[send.server_id]
         opened = gateway.requests[send.request_id]
         work = opened.request.units / self.trial.mean_units
-        cold = send.server == "cold"
+        cold = send.server_id == "cold"
         if cold:
             self.taken.append((self.now, work))
         start = max(self.now, machine.free_at)
         finish = start + 1000.0 * work / CAPACITY / self.warmth(machine.entry, self.now)
-        ending, at = Ending.OK, finish + 10.0
-        if not cold and self.trial.fails(self.now - self.cold_at, int(send.server[1:])):
-            ending, at = Ending.UNREACHABLE, self.now + 2.0
+        ending, at = CallOutcome.OK, finish + 10.0
+        if not cold and self.trial.fails(self.now - self.cold_at, int(send.server_id[1:])):
+            ending, at = CallOutcome.UNREACHABLE, self.now + 2.0
         elif start - self.now > LONGEST_MS:
-            ending, at = Ending.FULL, self.now + 2.0
+            ending, at = CallOutcome.REJECTED, self.now + 2.0
         else:
             machine.free_at = finish
             self.answered += work if cold else 0.0
         if send.timeout_ms and at - self.now > send.timeout_ms:
-            ending, at = Ending.TIMEOUT, self.now + send.timeout_ms
+            ending, at = CallOutcome.TIMEOUT, self.now + send.timeout_ms
         number = opened.attempts - 1
-        ended = AttemptEnded(send.request_id, number, send.server, ending, at - self.now, ending is Ending.OK)
+        ended = AttemptCompleted(
+            send.request_id, number, send.server_id, ending, at - self.now, ending is CallOutcome.OK
+        )
         self.push(at, gateway, ended)
 
     def nearest(self) -> float:
@@ -180,10 +177,12 @@
         for at, work in self.taken:
             window.append((at, work))
             total += work
-            while window[0][0] <= at - safety.overload_ms:
+            while window[0][0] <= at - safety.overload_window_ms:
                 total -= window.popleft()[1]
-            capacity = CAPACITY * self.warmth(self.machines["cold"].entry, at - 0.5 * safety.overload_ms)
-            n = safety.overload_factor * capacity * safety.overload_ms / 1000.0
+            capacity = CAPACITY * self.warmth(
+                self.machines["cold"].entry, at - 0.5 * safety.overload_window_ms
+            )
+            n = safety.overload_factor * capacity * safety.overload_window_ms / 1000.0
             most = max(most, total / (n + 2.0 * math.sqrt(n) + 2.0))
         return most
 
@@ -246,7 +245,7 @@
     return 20.0 if gateway % 10 == 0 else 1.0
 
 
-def trial(name: str, gateways: int, safety: Safety) -> Trial:
+def trial(name: str, gateways: int, safety: SlowStartSettings) -> Trial:
     """What may happen beside a cold server's start."""
     made = Trial(gateways, safety)
     loads = {"shift": to_some, "back": back_to_all, "burst": burst, "lull": lull}
@@ -285,7 +284,7 @@
 SEEDS = {2: 4, 30: 4, 200: 1}
 
 
-def play(name: str, gateways: int, safety: Safety, seeds: int) -> tuple[float, float]:
+def play(name: str, gateways: int, safety: SlowStartSettings, seeds: int) -> tuple[float, float]:
     """The nearest that any seed came to the bound, and the mean share of the cold server that was used."""
     worlds = [World(trial(name, gateways, safety), seed) for seed in range(seeds)]
     for world in worlds:
@@ -324,7 +323,7 @@
 def test_a_request_that_would_spend_the_margin_alone_goes_to_a_warm_server() -> None:
     rig = Rig(entries(4))
     rig.warm_up()
-    rig.feed(ServerList(ListKind.CHANGES, (ServerEntry("cold", "a", started_ms=rig.now),)))
+    rig.feed(EndpointUpdate(UpdateKind.DELTA, (Endpoint("cold", "a", started_ms=rig.now),)))
     fleet = rig.gateway.fleet
     went: dict[float, list[str]] = {}
     for units in (1.0, 30.0):  # 20 ms each; a core bears 500 ms of work in a second
@@ -345,7 +344,7 @@
     for seed in range(60):
         rig = Rig(entries(4), seed=seed)
         rig.warm_up()
-        rig.feed(ServerList(ListKind.CHANGES, (ServerEntry("cold", "a", started_ms=rig.now),)))
+        rig.feed(EndpointUpdate(UpdateKind.DELTA, (Endpoint("cold", "a", started_ms=rig.now),)))
         fleet, cold = rig.gateway.fleet, rig.gateway.fleet.servers["cold"]
         fleet.rate = 0.4  # a turn in ten seconds, were it as cold all the time
         rig.now += 9000.0
--- a/tests/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -4,34 +4,26 @@
 
 import pytest
 
-from heathglade.interface import (
-    AnswerBegan,
-    AttemptEnded,
-    CountReply,
-    Ending,
-    Fail,
-    ListKind,
-    Refuse,
-    Repeat,
+from quota_gateway.policy_api.actions import Fail, Reject, StartAttempt
+from quota_gateway.policy_api.endpoints import Endpoint, EndpointState, EndpointUpdate, UpdateKind
+from quota_gateway.policy_api.events import (
+    AttemptCompleted,
+    CallOutcome,
+    ClientDisconnected,
+    CounterReply,
     Request,
-    RequestClass,
-    RequestGone,
-    Scope,
-    Send,
-    ServerEntry,
-    ServerList,
-    ServerState,
+    ResponseStarted,
     TimerFired,
 )
+from quota_gateway.settings import DeduplicationScope, Idempotency, RequestClass
+from tests.policy.scripted_gateway import SETTINGS, Rig, entries, finals, only, with_
 
-from .rig import SETTINGS, Rig, entries, finals, only, with_
+NOT_RUN = (CallOutcome.REJECTED, CallOutcome.UNREACHABLE)
+MAY_HAVE_RUN = (CallOutcome.ERROR, CallOutcome.TIMEOUT, CallOutcome.RESET, CallOutcome.CANCELLED)
 
-NOT_RUN = (Ending.FULL, Ending.UNREACHABLE)
-MAY_HAVE_RUN = (Ending.ERROR, Ending.TIMEOUT, Ending.RESET, Ending.CANCELLED)
 
-
-def gone(server: str, state: ServerState = ServerState.DRAINING) -> ServerList:
-    return ServerList(ListKind.CHANGES, (ServerEntry(server, "a", state=state),))
+def gone(server: str, state: EndpointState = EndpointState.DRAINING) -> EndpointUpdate:
+    return EndpointUpdate(UpdateKind.DELTA, (Endpoint(server, "a", state=state),))
 
 
 # --- rule 1: exactly one final answer, in time ---------------------------------------------------------
@@ -42,7 +34,7 @@
     rig = Rig(entries(3))
     _, actions = rig.ask(left=left)
     assert len(finals(actions)) == 1
-    assert not only(actions, Send)
+    assert not only(actions, StartAttempt)
 
 
 def test_no_server_holds_briefly_then_refuses_in_time() -> None:
@@ -58,20 +50,20 @@
     rig = Rig(entries(1))
     rig.feed(gone("s0"))
     name, _ = rig.ask()
-    actions = rig.feed(ServerList(ListKind.CHANGES, (ServerEntry("s9", "a"),)))
-    assert [(s.request_id, s.server) for s in only(actions, Send)] == [(name, "s9")]
+    actions = rig.feed(EndpointUpdate(UpdateKind.DELTA, (Endpoint("s9", "a"),)))
+    assert [(s.request_id, s.server_id) for s in only(actions, StartAttempt)] == [(name, "s9")]
 
 
 def test_timeout_at_the_deadline_is_answered_at_once() -> None:
     rig = Rig(entries(3))
     name, _ = rig.ask("charge", left=800.0)
     rig.now += 800.0
-    assert [type(a) for a in finals(rig.end(name, 0, Ending.TIMEOUT, 800.0))] == [Fail]
+    assert [type(a) for a in finals(rig.end(name, 0, CallOutcome.TIMEOUT, 800.0))] == [Fail]
 
 
 @pytest.mark.parametrize("cls", ["read", "order", "bid", "charge", "unknown"])
-@pytest.mark.parametrize("ending", [*NOT_RUN, *MAY_HAVE_RUN, Ending.UNSENT])
-def test_one_final_answer_however_attempts_end(cls: str, ending: Ending) -> None:
+@pytest.mark.parametrize("ending", [*NOT_RUN, *MAY_HAVE_RUN, CallOutcome.NOT_SENT])
+def test_one_final_answer_however_attempts_end(cls: str, ending: CallOutcome) -> None:
     rig = Rig(entries(6))
     name, actions = rig.ask(cls)
     attempt, answers = 0, finals(actions)
@@ -88,33 +80,33 @@
 def test_late_duplicate_and_unasked_events_are_ignored() -> None:
     rig = Rig(entries(3))
     name, _ = rig.ask()
-    rig.end(name, 0, Ending.OK)
-    assert not finals(rig.end(name, 0, Ending.ERROR))
-    rig.feed(RequestGone(name))
-    rig.feed(RequestGone("never-seen"))
-    rig.feed(AttemptEnded("never-seen", 3, "nowhere", Ending.OK, 1.0, True))
-    rig.feed(CountReply(12345, 7.0, Ending.OK))
+    rig.end(name, 0, CallOutcome.OK)
+    assert not finals(rig.end(name, 0, CallOutcome.ERROR))
+    rig.feed(ClientDisconnected(name))
+    rig.feed(ClientDisconnected("never-seen"))
+    rig.feed(AttemptCompleted("never-seen", 3, "nowhere", CallOutcome.OK, 1.0, True))
+    rig.feed(CounterReply(12345, 7.0, CallOutcome.OK))
     rig.feed(TimerFired(999))
-    rig.feed(AnswerBegan("never-seen", 0))
+    rig.feed(ResponseStarted("never-seen", 0))
     assert not finals([action for _, action in rig.log])
 
 
 def test_gone_client_gets_no_further_attempt() -> None:
     rig = Rig(entries(3))
     name, _ = rig.ask()
-    rig.feed(RequestGone(name))
-    assert not only(rig.end(name, 0, Ending.FULL, final=False), Send)
+    rig.feed(ClientDisconnected(name))
+    assert not only(rig.end(name, 0, CallOutcome.REJECTED, final=False), StartAttempt)
 
 
 def test_unknown_plan_and_class_are_served_as_unsafe_without_quota() -> None:
     rig = Rig(entries(3))
     actions = rig.feed(Request("x", "no-such-class", "no-such-plan", "c", 1000.0))
-    assert only(actions, Send)
-    assert [type(a) for a in finals(rig.end("x", 0, Ending.TIMEOUT))] == [Fail]
+    assert only(actions, StartAttempt)
+    assert [type(a) for a in finals(rig.end("x", 0, CallOutcome.TIMEOUT))] == [Fail]
 
 
 def test_more_requests_than_may_be_open_are_refused() -> None:
-    rig = Rig(entries(3), with_(SETTINGS, max_requests=4))
+    rig = Rig(entries(3), with_(SETTINGS, max_pending_requests=4))
     answers = [finals(rig.ask()[1]) for _ in range(6)]
     assert [len(a) for a in answers] == [0, 0, 0, 1, 1, 1]
 
@@ -123,28 +115,28 @@
 
 
 @pytest.mark.parametrize("ending", MAY_HAVE_RUN)
-def test_unsafe_request_that_may_have_run_fails(ending: Ending) -> None:
+def test_unsafe_request_that_may_have_run_fails(ending: CallOutcome) -> None:
     rig = Rig(entries(4))
     name, _ = rig.ask("charge")
     actions = rig.end(name, 0, ending)
     assert [type(a) for a in finals(actions)] == [Fail]
-    assert not only(actions, Send)
+    assert not only(actions, StartAttempt)
 
 
 @pytest.mark.parametrize("ending", NOT_RUN)
-def test_unsafe_request_that_did_not_run_is_tried_elsewhere(ending: Ending) -> None:
+def test_unsafe_request_that_did_not_run_is_tried_elsewhere(ending: CallOutcome) -> None:
     rig = Rig(entries(4))
     name, _ = rig.ask("charge")
-    sends = only(rig.end(name, 0, ending, 5.0), Send)
+    sends = only(rig.end(name, 0, ending, 5.0), StartAttempt)
     assert len(sends) == 1
-    assert sends[0].server != rig.sent[name][0]
+    assert sends[0].server_id != rig.sent[name][0]
 
 
 def test_unsafe_request_is_refused_only_if_no_attempt_ran() -> None:
     rig = Rig(entries(4))
     name, _ = rig.ask("charge")
-    rig.end(name, 0, Ending.FULL, 5.0)
-    assert [type(a) for a in finals(rig.end(name, 1, Ending.RESET, 5.0))] == [Fail]
+    rig.end(name, 0, CallOutcome.REJECTED, 5.0)
+    assert [type(a) for a in finals(rig.end(name, 1, CallOutcome.RESET, 5.0))] == [Fail]
 
 
 def test_zone_keyed_request_stays_in_its_zone_once_it_may_have_run() -> None:
@@ -153,18 +145,18 @@
         name, _ = rig.ask("bid")
         first = rig.sent[name][0]
         rig.now += 100.0
-        rig.end(name, 0, Ending.TIMEOUT, 100.0)
+        rig.end(name, 0, CallOutcome.TIMEOUT, 100.0)
         zones = {int(server[1:]) % 3 for server in rig.sent[name]}
         assert zones == {int(first[1:]) % 3}
         assert len(rig.sent[name]) == 2
 
 
 def test_zone_keyed_request_without_a_server_in_its_zone_fails() -> None:
-    rig = Rig((ServerEntry("s0", "a"),))
+    rig = Rig((Endpoint("s0", "a"),))
     name, _ = rig.ask("bid")
-    rig.feed(ServerList(ListKind.FULL, (ServerEntry("s1", "b"),)))
-    actions = rig.end(name, 0, Ending.TIMEOUT, 100.0) + rig.advance(4000.0)
-    assert not only(actions, Send)
+    rig.feed(EndpointUpdate(UpdateKind.SNAPSHOT, (Endpoint("s1", "b"),)))
+    actions = rig.end(name, 0, CallOutcome.TIMEOUT, 100.0) + rig.advance(4000.0)
+    assert not only(actions, StartAttempt)
     assert [type(a) for a in finals(actions)] == [Fail]
 
 
@@ -172,30 +164,30 @@
     rig = Rig(entries(4))
     name, _ = rig.ask("order", left=6000.0)
     rig.now += 2100.0
-    actions = rig.end(name, 0, Ending.RESET, 2100.0)
-    assert not only(actions, Send)
+    actions = rig.end(name, 0, CallOutcome.RESET, 2100.0)
+    assert not only(actions, StartAttempt)
     assert [type(a) for a in finals(actions)] == [Fail]
 
 
 def test_held_keyed_request_is_not_sent_after_servers_forget() -> None:
-    order = RequestClass("order", 5000.0, 2.0, Repeat.KEYED, Scope.ALL, 1200.0)
+    order = RequestClass("order", 5000.0, 2.0, Idempotency.KEYED, DeduplicationScope.ALL, 1200.0)
     classes = (order,)
     rig = Rig(entries(1), with_(SETTINGS, classes=classes))
     name, _ = rig.ask("order", left=6000.0)
     rig.now += 1000.0
     rig.feed(gone("s0"))
-    rig.end(name, 0, Ending.RESET, 1000.0)
+    rig.end(name, 0, CallOutcome.RESET, 1000.0)
     rig.now += 400.0
-    actions = rig.feed(ServerList(ListKind.CHANGES, (ServerEntry("s9", "a"),))) + rig.advance(6000.0)
-    assert not only(actions, Send)
+    actions = rig.feed(EndpointUpdate(UpdateKind.DELTA, (Endpoint("s9", "a"),))) + rig.advance(6000.0)
+    assert not only(actions, StartAttempt)
     assert [type(a) for a in finals(actions)] == [Fail]
 
 
 # --- rule 3: drains ------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.GONE])
-def test_nothing_new_to_a_draining_or_gone_server(state: ServerState) -> None:
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
+def test_nothing_new_to_a_draining_or_gone_server(state: EndpointState) -> None:
     rig = Rig(entries(3))
     rig.feed(gone("s1", state))
     for _ in range(60):
@@ -205,7 +197,7 @@
 
 def test_absent_from_a_full_list_is_gone() -> None:
     rig = Rig(entries(3))
-    rig.feed(ServerList(ListKind.FULL, entries(2)))
+    rig.feed(EndpointUpdate(UpdateKind.SNAPSHOT, entries(2)))
     for _ in range(60):
         rig.ask()
     assert "s2" not in {s for sent in rig.sent.values() for s in sent}
@@ -213,16 +205,16 @@
 
 def test_failed_list_keeps_the_old_one() -> None:
     rig = Rig(entries(2))
-    rig.feed(ServerList(ListKind.FAILED))
-    assert only(rig.ask()[1], Send)
+    rig.feed(EndpointUpdate(UpdateKind.WATCH_FAILED))
+    assert only(rig.ask()[1], StartAttempt)
 
 
 def test_held_request_is_not_sent_to_a_server_told_to_drain() -> None:
     rig = Rig(entries(1))
     name, _ = rig.ask()
     rig.feed(gone("s0"))
-    actions = rig.end(name, 0, Ending.FULL, 5.0) + rig.advance(3000.0)
-    assert not only(actions, Send)
+    actions = rig.end(name, 0, CallOutcome.REJECTED, 5.0) + rig.advance(3000.0)
+    assert not only(actions, StartAttempt)
     assert len(finals(actions)) == 1
 
 
@@ -232,7 +224,7 @@
 def test_cold_server_gets_less_than_its_share_of_warm_traffic() -> None:
     rig = Rig(entries(4))
     rig.warm_up()
-    rig.feed(ServerList(ListKind.CHANGES, (ServerEntry("cold", "a", started_ms=rig.now),)))
+    rig.feed(EndpointUpdate(UpdateKind.DELTA, (Endpoint("cold", "a", started_ms=rig.now),)))
     start = rig.now
     sent: dict[str, int] = {}
     for _ in range(100):
@@ -240,7 +232,7 @@
         server = rig.sent[name][0]
         sent[server] = sent.get(server, 0) + 1
         rig.now += 5.0
-        rig.end(name, 0, Ending.OK)
+        rig.end(name, 0, CallOutcome.OK)
         rig.now += 5.0
     warm = sum(n for s, n in sent.items() if s != "cold") / 4
     assert rig.now - start <= 1000.0
@@ -250,15 +242,15 @@
 def test_three_gateways_together_stay_under_a_cold_servers_share() -> None:
     total = {"cold": 0, "warm": 0}
     for seed in range(3):
-        rig = Rig(entries(4), with_(SETTINGS, gateways=3), seed=seed)
+        rig = Rig(entries(4), with_(SETTINGS, gateway_count=3), seed=seed)
         rig.warm_up()
-        rig.feed(ServerList(ListKind.CHANGES, (ServerEntry("cold", "a", started_ms=rig.now),)))
+        rig.feed(EndpointUpdate(UpdateKind.DELTA, (Endpoint("cold", "a", started_ms=rig.now),)))
         for _ in range(100):
             name, actions = rig.ask()
-            if only(actions, Send):
+            if only(actions, StartAttempt):
                 total["cold" if rig.sent[name][0] == "cold" else "warm"] += 1
                 rig.now += 5.0
-                rig.end(name, 0, Ending.OK)
+                rig.end(name, 0, CallOutcome.OK)
             rig.now += 5.0
     # It starts at a quarter of its capacity and bears twice that: half of what a warm one gets, at most.
     assert total["warm"] > 200
@@ -267,7 +259,7 @@
 
 def test_fresh_gateway_is_shy_with_a_fleet_of_cold_servers() -> None:
     rig = Rig(entries(3, started=1000.0))
-    sends = sum(len(only(rig.ask()[1], Send)) for _ in range(200))
+    sends = sum(len(only(rig.ask()[1], StartAttempt)) for _ in range(200))
     assert sends <= 6
 
 
@@ -277,9 +269,9 @@
     sends = 0
     for _ in range(400):
         name, actions = rig.ask()
-        if only(actions, Send):
+        if only(actions, StartAttempt):
             sends += 1
-            rig.end(name, 0, Ending.OK, 10.0)
+            rig.end(name, 0, CallOutcome.OK, 10.0)
         rig.advance(10.0)
     assert sends <= 6
 
@@ -293,10 +285,10 @@
     while elapsed < ms:
         for rig in rigs:
             name, actions = rig.ask(plan="hard", units=units)
-            if only(actions, Send):
+            if only(actions, StartAttempt):
                 total += units
                 rig.now += 1.0
-                rig.end(name, 0, Ending.OK, 1.0)
+                rig.end(name, 0, CallOutcome.OK, 1.0)
             rig.advance(each_ms)
         elapsed += each_ms
     return total
@@ -305,7 +297,7 @@
 @pytest.mark.parametrize("counter", [True, False])
 @pytest.mark.parametrize("units", [1.0, 2.0])
 def test_ceiling_holds_with_a_mute_or_empty_counter(counter: bool, units: float) -> None:
-    rigs = [Rig(entries(4), with_(SETTINGS, counter=counter), seed=i) for i in range(2)]
+    rigs = [Rig(entries(4), with_(SETTINGS, counter_enabled=counter), seed=i) for i in range(2)]
     seconds = 8.0
     sent = send_through(rigs, seconds * 1000.0, 50.0, units)
     assert sent <= 12.0 + 4.0 * (rigs[0].now - 1000.0) / 1000.0 + 2.0
@@ -322,6 +314,6 @@
 
 def test_unknown_refuse_kinds_carry_advice() -> None:
     rig = Rig(entries(4))
-    refused = [a for _ in range(60) for a in only(rig.ask(plan="rate")[1], Refuse)]
+    refused = [a for _ in range(60) for a in only(rig.ask(plan="rate")[1], Reject)]
     assert refused
     assert all(0 < a.retry_after_ms <= 500.0 for a in refused)
--- a/tests/test_scale.py
+++ b/tests/policy/test_scale.py
@@ -13,23 +13,21 @@
 
 import pytest
 
-from heathglade import policy
-from heathglade.interface import (
-    Ending,
-    ListKind,
-    Send,
-    ServerEntry,
-    ServerList,
-    ServerState,
-    Subscribe,
-    pieces,
+from quota_gateway.policy import gateway as policy
+from quota_gateway.policy.gateway import Fleet
+from quota_gateway.policy_api.actions import StartAttempt, WatchEndpoints
+from quota_gateway.policy_api.endpoints import (
+    Endpoint,
+    EndpointState,
+    EndpointUpdate,
+    UpdateKind,
+    split_update,
 )
-from heathglade.policy import Fleet
-
-from .rig import SETTINGS, Rig, entries, only, with_
+from quota_gateway.policy_api.events import CallOutcome
+from tests.policy.scripted_gateway import SETTINGS, Rig, entries, only, with_
 
 FEW, MANY = 200, 20_000
-MANY_GATEWAYS = with_(SETTINGS, gateways=2100, number=7)
+MANY_GATEWAYS = with_(SETTINGS, gateway_count=2100, gateway_index=7)
 
 
 def lines(call: Callable[[], object]) -> int:
@@ -65,14 +63,14 @@
             server.out = 99
         name, actions = rig.ask()
         rig.now += 10.0
-        if only(actions, Send):
-            rig.end(name, 0, Ending.OK)
+        if only(actions, StartAttempt):
+            rig.end(name, 0, CallOutcome.OK)
 
 
 def change(rig: Rig, name: str = "s3") -> None:
     """A server goes and comes back."""
-    rig.feed(ServerList(ListKind.CHANGES, (ServerEntry(name, "a", state=ServerState.DRAINING),)))
-    rig.feed(ServerList(ListKind.CHANGES, (ServerEntry(name, "a", started_ms=rig.now),)))
+    rig.feed(EndpointUpdate(UpdateKind.DELTA, (Endpoint(name, "a", state=EndpointState.DRAINING),)))
+    rig.feed(EndpointUpdate(UpdateKind.DELTA, (Endpoint(name, "a", started_ms=rig.now),)))
 
 
 def tick(rig: Rig) -> None:
@@ -120,7 +118,7 @@
 
 def test_a_list_that_says_the_same_again_costs_little() -> None:
     rig = rig_of(MANY)
-    again = ServerList(ListKind.FULL, entries(MANY))
+    again = EndpointUpdate(UpdateKind.SNAPSHOT, entries(MANY))
     ring, subset = list(rig.gateway.fleet.ring), dict(rig.gateway.fleet.subset)
     assert lines(lambda: rig.feed(again)) <= 7 * MANY
     assert (rig.gateway.fleet.ring, rig.gateway.fleet.subset) == (ring, subset)
@@ -133,7 +131,7 @@
         group: {server.entry for server in sampled.members} for group, sampled in fleet.spares.groups.items()
     }
     for sampled in fleet.spares.groups.values():
-        assert {name: sampled.members[at].entry.server for name, at in sampled.places.items()} == {
+        assert {name: sampled.members[at].entry.server_id for name, at in sampled.places.items()} == {
             name: name for name in sampled.places
         }
         assert len(sampled.members) == len(sampled.places)
@@ -144,10 +142,12 @@
     return entries_, fleet.ring, kept, groups
 
 
-def any_entry(rng: random.Random, now: float) -> ServerEntry:
-    state_ = rng.choice([ServerState.ACTIVE, ServerState.ACTIVE, ServerState.DRAINING, ServerState.GONE])
+def any_entry(rng: random.Random, now: float) -> Endpoint:
+    state_ = rng.choice(
+        [EndpointState.ACTIVE, EndpointState.ACTIVE, EndpointState.DRAINING, EndpointState.GONE]
+    )
     started = rng.choice([0.0, now, now - 20_000.0])
-    return ServerEntry(f"s{rng.randrange(90)}", rng.choice("ab"), rng.randrange(3), 1.0, started, state_)
+    return Endpoint(f"s{rng.randrange(90)}", rng.choice("ab"), rng.randrange(3), 1.0, started, state_)
 
 
 @pytest.mark.parametrize("most", [3, 60, 200])
@@ -155,55 +155,57 @@
     """A series of changes, restarts, moves and whole lists leaves what the last state alone would have."""
     for seed in range(12):
         rng = random.Random(seed)
-        rig = Rig(entries(rng.choice([5, 25, 60]), "ab"), with_(SETTINGS, number=seed))
+        rig = Rig(entries(rng.choice([5, 25, 60]), "ab"), with_(SETTINGS, gateway_index=seed))
         fleet = rig.gateway.fleet
         for _ in range(60):
             rig.now += rng.choice([0.0, 3000.0])
-            kind = ListKind.CHANGES if rng.random() < 0.9 else ListKind.FULL
+            kind = UpdateKind.DELTA if rng.random() < 0.9 else UpdateKind.SNAPSHOT
             news = tuple(any_entry(rng, rig.now) for _ in range(rng.randrange(1, most)))
-            rig.feed(ServerList(kind, news))
-        fresh = Rig((), with_(SETTINGS, number=seed))
+            rig.feed(EndpointUpdate(kind, news))
+        fresh = Rig((), with_(SETTINGS, gateway_index=seed))
         fresh.now = rig.now
-        fresh.feed(ServerList(ListKind.FULL, tuple(server.entry for server in fleet.servers.values())))
+        fresh.feed(
+            EndpointUpdate(UpdateKind.SNAPSHOT, tuple(server.entry for server in fleet.servers.values()))
+        )
         assert state(fleet, rig.now) == state(fresh.gateway.fleet, rig.now)
         assert len(fleet.subset) == min(policy.SUBSET, len(fleet.servers))
 
 
-@pytest.mark.parametrize("kind", [ListKind.FULL, ListKind.SAVED])
-def test_pieces_of_a_list_come_to_the_same_and_none_is_long(kind: ListKind) -> None:
-    subscribing = with_(MANY_GATEWAYS, subscribe=True)
+@pytest.mark.parametrize("kind", [UpdateKind.SNAPSHOT, UpdateKind.CACHED_SNAPSHOT])
+def test_pieces_of_a_list_come_to_the_same_and_none_is_long(kind: UpdateKind) -> None:
+    subscribing = with_(MANY_GATEWAYS, watch_required=True)
     old = entries(3000)
-    new = (ServerEntry("s5", "a", state=ServerState.DRAINING), *entries(6000)[500:])
+    new = (Endpoint("s5", "a", state=EndpointState.DRAINING), *entries(6000)[500:])
     whole, split = Rig(old, subscribing), Rig(old, subscribing)
-    whole_actions = whole.feed(ServerList(kind, new))
+    whole_actions = whole.feed(EndpointUpdate(kind, new))
     known = list(split.gateway.fleet.servers)
     actions, going = [], True
-    for piece in pieces(ServerList(kind, new), known):
-        assert len(piece.entries) <= 250
-        active = [entry.state is ServerState.ACTIVE for entry in piece.entries]
+    for piece in split_update(EndpointUpdate(kind, new), known):
+        assert len(piece.endpoints) <= 250
+        active = [entry.state is EndpointState.ACTIVE for entry in piece.endpoints]
         assert all(active) or (going and not any(active))  # what drains or is gone comes first
         going = going and not any(active)
         actions += split.feed(piece)
     assert state(split.gateway.fleet, split.now) == state(whole.gateway.fleet, whole.now)
-    assert only(actions, Subscribe) == only(whole_actions, Subscribe)
+    assert only(actions, WatchEndpoints) == only(whole_actions, WatchEndpoints)
 
 
 def test_a_piece_costs_what_it_holds_and_a_sort() -> None:
     listed = entries(MANY)
     costs = []
     rig = Rig((), MANY_GATEWAYS)
-    for piece in pieces(ServerList(ListKind.FULL, listed), ()):
+    for piece in split_update(EndpointUpdate(UpdateKind.SNAPSHOT, listed), ()):
         costs.append(lines(partial(rig.feed, piece)))
     assert len(costs) == 80
     assert max(costs) <= 2.5 * costs[0]
 
 
-def subsets(servers: tuple[ServerEntry, ...], gateways: int) -> list[set[str]]:
+def subsets(servers: tuple[Endpoint, ...], gateways: int) -> list[set[str]]:
     """What each of a number of gateways keeps to."""
-    fleet = Rig(servers, with_(SETTINGS, gateways=gateways)).gateway.fleet
+    fleet = Rig(servers, with_(SETTINGS, gateway_count=gateways)).gateway.fleet
     kept = []
     for number in range(gateways):
-        fleet.settings = with_(SETTINGS, gateways=gateways, number=number)
+        fleet.settings = with_(SETTINGS, gateway_count=gateways, gateway_index=number)
         fleet.choose_subset(0.0)
         kept.append(set(fleet.subset))
     return kept
@@ -212,7 +214,7 @@
 @pytest.mark.parametrize(("servers", "gateways"), [(2000, 300), (5000, 2100)])
 def test_subsets_of_a_very_large_fleet_are_balanced_and_move_by_little(servers: int, gateways: int) -> None:
     before = subsets(entries(servers), gateways)
-    after = subsets((*entries(servers)[1:], ServerEntry("new", "a")), gateways)
+    after = subsets((*entries(servers)[1:], Endpoint("new", "a")), gateways)
     counts: dict[str, int] = {}
     for name in (name for subset in before for name in subset):
         counts[name] = counts.get(name, 0) + 1
@@ -233,10 +235,10 @@
     went = []
     for i in range(60):
         name, actions = rig.ask(customer=f"c{i}")
-        if only(actions, Send):
+        if only(actions, StartAttempt):
             went.append(rig.sent[name][0])
-            rig.end(name, 0, Ending.OK)
-    failing = {server.entry.server for server in spare[::3]}
+            rig.end(name, 0, CallOutcome.OK)
+    failing = {server.entry.server_id for server in spare[::3]}
     assert len(went) == 60
     assert not set(went) & set(fleet.subset)
     assert sum(server in failing for server in went) <= 4
@@ -245,10 +247,10 @@
 
 def test_a_bound_further_attempt_finds_its_zone_outside_the_subset() -> None:
     # Of two zones the subset may hold none of one; an index by zone and cell finds them without a scan.
-    servers = tuple(ServerEntry(f"s{i}", "b" if i < 3 else "a", i) for i in range(400))
+    servers = tuple(Endpoint(f"s{i}", "b" if i < 3 else "a", i) for i in range(400))
     tried = 0
     for seed in range(30):
-        rig = Rig(servers, with_(SETTINGS, number=seed), seed=seed)
+        rig = Rig(servers, with_(SETTINGS, gateway_index=seed), seed=seed)
         fleet = rig.gateway.fleet
         for server in fleet.subset.values():
             server.out = 99
@@ -258,7 +260,7 @@
         name, _ = rig.ask("bid")
         rig.gateway.requests[name].home = home.entry
         rig.gateway.requests[name].may_run_at = rig.now
-        rig.end(name, 0, Ending.TIMEOUT, 100.0)
+        rig.end(name, 0, CallOutcome.TIMEOUT, 100.0)
         assert fleet.servers[rig.sent[name][1]].entry.zone == "b"
         tried += 1
     assert tried > 10
@@ -268,11 +270,11 @@
     rig = Rig(entries(200), MANY_GATEWAYS)
     fleet = rig.gateway.fleet
     cold = [name for name in fleet.servers if name not in fleet.subset]
-    rig.feed(ServerList(ListKind.CHANGES, tuple(ServerEntry(n, "a", started_ms=rig.now) for n in cold)))
+    rig.feed(EndpointUpdate(UpdateKind.DELTA, tuple(Endpoint(n, "a", started_ms=rig.now) for n in cold)))
     for server in fleet.subset.values():
         server.out = 99
     assert rig.sent[rig.ask()[0]][0] in fleet.subset
-    rig.now += SETTINGS.safety.warm_ms
+    rig.now += SETTINGS.slow_start.warm_up_ms
     assert rig.sent[rig.ask()[0]][0] in cold
 
 
--- a/tests/test_wire.py
+++ b/tests/test_simulator_adapter.py
@@ -13,8 +13,20 @@
 
 import pytest
 
-from heathglade import interface as api
-from heathglade.simhost import Host, WireError, encode, serve, settings
+from quota_gateway.policy_api.actions import (
+    Action,
+    CancelAttempt,
+    Fail,
+    IncrementCounter,
+    LogEvent,
+    Reject,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from quota_gateway.policy_api.events import Event
+from quota_gateway.settings import Idempotency, decode_settings
+from quota_gateway.simulator_adapter import Host, WireError, encode, serve
 
 ROOT = Path(__file__).resolve().parent.parent
 PARAMS: dict[str, Any] = {
@@ -100,25 +112,25 @@
 
 
 def test_every_action_is_written() -> None:
-    made: list[tuple[api.Action, list[Any]]] = [
-        (api.Send("r", "s", 5.0), ["hand_off", 1, "r", 5.0, "s"]),
-        (api.Refuse("r", 9.0), ["bounce", 1, "r", 9.0]),
-        (api.Fail("r"), ["give_up", 1, "r"]),
-        (api.Cancel("r", 2), ["recall", 1, "r", 2]),
-        (api.SetTimer(4, 8.0), ["remind", 1, 4, 8.0]),
-        (api.Count(6, 2.0, 60.0), ["incr", 1, 6, 2.0, 60.0]),
-        (api.Subscribe(), ["tail", 1, True]),
-        (api.Log("x"), ["say_log", 1, "x"]),
+    made: list[tuple[Action, list[Any]]] = [
+        (StartAttempt("r", "s", 5.0), ["hand_off", 1, "r", 5.0, "s"]),
+        (Reject("r", 9.0), ["bounce", 1, "r", 9.0]),
+        (Fail("r"), ["give_up", 1, "r"]),
+        (CancelAttempt("r", 2), ["recall", 1, "r", 2]),
+        (SetTimer(4, 8.0), ["remind", 1, 4, 8.0]),
+        (IncrementCounter(6, 2.0, 60.0), ["incr", 1, 6, 2.0, 60.0]),
+        (WatchEndpoints(), ["tail", 1, True]),
+        (LogEvent("x", (("y", "a b"),)), ["say_log", 1, 'event=x y="a b"']),
     ]
     assert [encode(1, action) for action, _ in made] == [wire for _, wire in made]
 
 
 def test_missing_settings_get_the_safest_reading() -> None:
-    bare = settings({"profiles": [{"name": "x"}, None], "packages": None, "limits": None})
-    assert bare.classes[0].repeat is api.Repeat.UNSAFE
+    bare = decode_settings({"profiles": [{"name": "x"}, None], "packages": None, "limits": None})
+    assert bare.classes[0].idempotency is Idempotency.NON_IDEMPOTENT
     assert bare.max_attempts == 1
-    assert bare.gateways == 1
-    assert not bare.counter
+    assert bare.gateway_count == 1
+    assert not bare.counter_enabled
     assert bare.plans == ()
 
 
@@ -138,7 +150,7 @@
     out = io.StringIO()
     assert serve([text], out) == 1
     assert out.getvalue() == ""
-    assert "heathglade.simhost: " in capsys.readouterr().err
+    assert "quota_gateway.simulator_adapter: " in capsys.readouterr().err
     with pytest.raises(WireError):
         Host().batch(text)
 
@@ -146,7 +158,7 @@
 def test_failing_decision_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     host = started(3)
 
-    def broken(now_ms: float, event: api.Event) -> list[api.Action]:
+    def broken(now_ms: float, event: Event) -> list[Action]:
         raise RuntimeError("out of luck")
 
     monkeypatch.setattr(host.gateways[3], "handle", broken)
@@ -163,7 +175,7 @@
 
 def test_deploy_file_starts_the_adapter() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    assert deploy["policy"] == ["heathglade/policy.py"]
+    assert all((ROOT / name).is_file() for name in deploy["policy"])
     command = deploy["sim"].replace(".venv/bin/python", shlex.quote(sys.executable))
     session = [
         line(0.0),
