--- a/tests/lab/test_demo.py
+++ b/tests/lab/test_demo.py
@@ -21,7 +21,7 @@
 from quota_gateway.lab.load.gateway_process import GatewayError
 from quota_gateway.lab.load.report import troubles
 from quota_gateway.lab.load.testbed import Rig, Shape
-from tests.network.loopback import play
+from tests.network.harness import run_scenario
 
 ROOT = Path(__file__).resolve().parents[2]
 COMMAND = [sys.executable, "-c", "from quota_gateway.lab.cli.main import main; main()"]
@@ -212,7 +212,7 @@
             async with rig:
                 pass
 
-    play(scenario())
+    run_scenario(scenario())
     found = [gateway.exit_status for gateway in rig.gateways]
     assert 2 in found
     assert None not in found
@@ -231,4 +231,4 @@
         assert gateway.killed
         assert gateway.exit_status == -signal.SIGKILL
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/lab/test_demo_load.py
+++ b/tests/lab/test_demo_load.py
@@ -22,7 +22,7 @@
     schedule,
     tenants,
 )
-from tests.network.loopback import Reply, RespPeer, always, play, until
+from tests.network.harness import FakeRespServer, Reply, always_reply, run_scenario, wait_until
 
 SITE = site.read(site.settings(3))
 
@@ -47,14 +47,14 @@
     made: list[Tally] = []
 
     async def scenario() -> None:
-        peer = RespPeer(reply or always(None))
+        peer = FakeRespServer(reply or always_reply(None))
         await peer.start()
         if reply is None:
             await peer.stop()
         made.append(await Load([("127.0.0.1", peer.port)], sent, ledger or Ledger()).run())
         await peer.stop()
 
-    play(scenario())
+    run_scenario(scenario())
     return made[0]
 
 
@@ -141,7 +141,7 @@
 
     async def late(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
         came.append(words[2])
-        await until(lambda: len(came) >= 2)
+        await wait_until(lambda: len(came) >= 2)
         return value(words)
 
     assert against(late, requests(12)).counts[Outcome.SERVED] == 12
@@ -164,7 +164,7 @@
     reply: bytes | None, outcome: Outcome, why: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(load_module, "PATIENCE_S", 0.01)
-    tally = against(always(reply), requests(1, wait_s=0.05 if reply is None else 5.0))
+    tally = against(always_reply(reply), requests(1, wait_s=0.05 if reply is None else 5.0))
     assert tally.counts[outcome] == 1 == tally.total
     assert tally.losses == ({why: 1} if why else {})
 
@@ -241,4 +241,4 @@
         assert again.ran_twice == 1
         assert made_for(b"r1 s0 ..") == b"r1"
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/lab/test_demo_troubles.py
+++ b/tests/lab/test_demo_troubles.py
@@ -15,7 +15,7 @@
 from quota_gateway.lab.load.quota_audit import Quotas, audit
 from quota_gateway.lab.load.testbed import Rig, Shape
 from tests.lab.test_demo import run
-from tests.network.loopback import play, until
+from tests.network.harness import run_scenario, wait_until
 
 
 def test_a_trouble_is_read_as_it_is_written() -> None:
@@ -62,18 +62,18 @@
         texts = ("s0:error,to=0.04", "counter:reset,from=0.02", "s1:drain,to=0.04")
         planned = Troubles(rig, map(read, texts))
         planned.start()
-        await until(lambda: rig.servers[1].draining)
+        await wait_until(lambda: rig.servers[1].draining)
         assert [row.state for row in rig.discovery.whole().servers] == ["Terminating"]
         assert rig.servers[0].faults.strike() == Fault(FaultKind.ERROR)
-        await until(lambda: not rig.servers[1].draining)
+        await wait_until(lambda: not rig.servers[1].draining)
         (row,) = rig.discovery.whole().servers
         assert row.state == "Ready"
         assert row.started_ms > 1e12
-        await until(lambda: rig.servers[0].faults.strike() is None)
+        await wait_until(lambda: rig.servers[0].faults.strike() is None)
         assert rig.counter.faults.strike() == Fault(FaultKind.RESET)
         planned.stop()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_load_with_faults_loses_nothing_and_tells_what_the_servers_did(tmp_path: Path) -> None:
--- a/tests/lab/test_standins.py
+++ b/tests/lab/test_standins.py
@@ -15,7 +15,7 @@
 from quota_gateway.lab.fakes.faults import SPOILT
 from quota_gateway.lab.fakes.loopback_server import Slot
 from quota_gateway.network.discovery.watch import Discovery, News
-from tests.network.loopback import CUSTOMER, GET, Client, play, until
+from tests.network.harness import CUSTOMER, GET, ClientConnection, run_scenario, wait_until
 
 E = TypeVar("E", bound=st.Endpoint)
 INSTANT = st.ServerModel(service_ms=0.0)
@@ -36,21 +36,21 @@
     return st.ServerStandIn("s0", model, st.Ledger())
 
 
-def on(endpoint: E, scenario: Callable[[E, Client], Awaitable[None]]) -> None:
+def on(endpoint: E, scenario: Callable[[E, ClientConnection], Awaitable[None]]) -> None:
     """Runs a scenario with one connection to an endpoint."""
 
     async def whole() -> None:
         async with started(endpoint):
-            await scenario(endpoint, await Client.connect(endpoint.port))
+            await scenario(endpoint, await ClientConnection.connect(endpoint.port))
 
-    play(whole())
+    run_scenario(whole())
 
 
 # --- servers ---------------------------------------------------------------------------------------------
 
 
 def test_a_server_makes_a_value_for_each_request_and_books_it() -> None:
-    async def scenario(one: st.ServerStandIn, client: Client) -> None:
+    async def scenario(one: st.ServerStandIn, client: ClientConnection) -> None:
         value, used, report = await client.ask(b"CALL.GET", CUSTOMER, b"r1", GET)
         assert st.made_for(value) == b"r1"
         assert len(value) == one.model.value_bytes
@@ -77,7 +77,7 @@
     ],
 )
 def test_a_server_answers_what_is_no_request(words: list[bytes], reply: str) -> None:
-    async def scenario(one: st.ServerStandIn, client: Client) -> None:
+    async def scenario(one: st.ServerStandIn, client: ClientConnection) -> None:
         found = await client.ask(*words)
         assert str(found if isinstance(found, Exception) else found.decode()) == reply
         assert one.ledger.unreadable == (reply == "SYNTAX")
@@ -87,7 +87,7 @@
 
 
 def test_what_cannot_be_read_ends_a_connection() -> None:
-    async def scenario(one: st.ServerStandIn, client: Client) -> None:
+    async def scenario(one: st.ServerStandIn, client: ClientConnection) -> None:
         client.writer.write(b"?\r\n")
         assert await client.ended()
 
@@ -95,15 +95,15 @@
 
 
 def test_past_cores_and_line_a_server_turns_away_and_a_caller_that_left_does_not_run() -> None:
-    async def scenario(one: st.ServerStandIn, client: Client) -> None:
-        waiting, third = await Client.connect(one.port), await Client.connect(one.port)
+    async def scenario(one: st.ServerStandIn, client: ClientConnection) -> None:
+        waiting, third = await ClientConnection.connect(one.port), await ClientConnection.connect(one.port)
         client.send(b"CALL.GET", CUSTOMER, b"runs", GET)
-        await until(lambda: one.ledger.of(b"runs"))
+        await wait_until(lambda: one.ledger.of(b"runs"))
         waiting.send(b"CALL.GET", CUSTOMER, b"waits", GET)
-        await until(lambda: one.held == 2)
+        await wait_until(lambda: one.held == 2)
         assert str(await third.ask(b"CALL.GET", CUSTOMER, b"late", GET)) == "BUSY"
         waiting.writer.close()
-        await until(lambda: len(one.connections) == 2)
+        await wait_until(lambda: len(one.connections) == 2)
         (busy,) = (cast("Any", each) for each in one.connections if not each.idle())
         one._finish(busy._slots[0], one.ledger.of(b"runs")[0], None)  # its minute is over
         assert st.made_for((await client.reply())[0]) == b"runs"
@@ -115,11 +115,11 @@
 
 
 def test_a_draining_server_completes_what_it_has_and_wants_nothing_new() -> None:
-    async def scenario(one: st.ServerStandIn, client: Client) -> None:
+    async def scenario(one: st.ServerStandIn, client: ClientConnection) -> None:
         client.send(b"CALL.GET", CUSTOMER, b"old", GET)
-        await until(lambda: one.held)
+        await wait_until(lambda: one.held)
         one.draining = True
-        other = await Client.connect(one.port)
+        other = await ClientConnection.connect(one.port)
         assert str(await other.ask(b"CALL.GET", CUSTOMER, b"new", GET)) == "BUSY"
         assert st.made_for((await client.reply())[0]) == b"old"
 
@@ -127,7 +127,7 @@
 
 
 def test_answers_on_a_connection_come_in_the_order_of_its_requests() -> None:
-    async def scenario(one: st.ServerStandIn, client: Client) -> None:
+    async def scenario(one: st.ServerStandIn, client: ClientConnection) -> None:
         names = [b"r%d" % number for number in range(20)]
         for name in names:
             client.send(b"CALL.GET", CUSTOMER, name, GET)
@@ -139,7 +139,7 @@
 
 
 def test_a_connection_without_calls_is_closed() -> None:
-    async def scenario(one: st.ServerStandIn, client: Client) -> None:
+    async def scenario(one: st.ServerStandIn, client: ClientConnection) -> None:
         assert await client.ended()
 
     on(server(st.ServerModel(idle_ms=20.0)), scenario)
@@ -153,19 +153,19 @@
         assert draws[0] == draws[1] != draws[2]
         assert sum(draws[0]) / 4000 == pytest.approx(0.008, rel=0.05)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 # --- the counter -----------------------------------------------------------------------------------------
 
 
 def test_the_counter_adds_and_forgets_names_when_their_life_has_ended() -> None:
-    async def scenario(one: st.CounterStandIn, client: Client) -> None:
+    async def scenario(one: st.CounterStandIn, client: ClientConnection) -> None:
         assert await client.ask(b"INCRTTL", b"a", b"2.5", b"60000") == b"2.5"
         assert await client.ask(b"INCRTTL", b"a", b"-1", b"1") == b"1.5"  # the first call set its life
         assert await client.ask(b"INCRTTL", b"b", b"1e3", b"30") == b"1000"
         assert one.total(b"a") == 1.5
-        await until(lambda: one.total(b"b") is None)
+        await wait_until(lambda: one.total(b"b") is None)
         assert await client.ask(b"INCRTTL", b"b", b"1", b"60000") == b"1"
 
     on(st.CounterStandIn(st.CounterModel()), scenario)
@@ -185,7 +185,7 @@
     ],
 )
 def test_the_counter_turns_down_what_is_no_call(words: list[bytes]) -> None:
-    async def scenario(one: st.CounterStandIn, client: Client) -> None:
+    async def scenario(one: st.CounterStandIn, client: ClientConnection) -> None:
         assert str(await client.ask(*words)).startswith("ERR ")
         assert one.total(b"a") is None
 
@@ -193,7 +193,7 @@
 
 
 def test_calls_past_the_capacity_of_a_part_are_turned_away_and_not_added() -> None:
-    async def scenario(one: st.CounterStandIn, client: Client) -> None:
+    async def scenario(one: st.CounterStandIn, client: ClientConnection) -> None:
         for _ in range(5):
             client.send(b"INCRTTL", b"a", b"1", b"60000")
         replies = [await client.reply() for _ in range(5)]
@@ -208,7 +208,7 @@
 # --- discovery -------------------------------------------------------------------------------------------
 
 
-async def get(client: Client, query: str = "", path: str = "/v1/servers") -> tuple[int, Any]:
+async def get(client: ClientConnection, query: str = "", path: str = "/v1/servers") -> tuple[int, Any]:
     """One call: the status, and what the body holds."""
     client.writer.write(f"GET {path}{query} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
     head = (await client.reader.readuntil(b"\r\n\r\n")).decode().lower()
@@ -218,7 +218,7 @@
 
 
 def test_a_watch_waits_for_news_and_gets_the_changes() -> None:
-    async def scenario(one: st.DiscoveryStandIn, client: Client) -> None:
+    async def scenario(one: st.DiscoveryStandIn, client: ClientConnection) -> None:
         one.put(st.ServerRow("s0", "127.0.0.1:1"))
         one.put(st.ServerRow("s1", "127.0.0.1:2"))
         status, whole = await get(client)
@@ -227,7 +227,7 @@
         assert [row["id"] for row in whole["servers"]] == ["s0", "s1"]
         query = f"?since={whole['version']}&timeout_ms=20000"
         watch = asyncio.ensure_future(get(client, query))
-        await until(lambda: one._watches)
+        await wait_until(lambda: one._watches)
         one.drain("s1")
         _, news = await watch
         assert not news["full"]
@@ -243,7 +243,7 @@
 
 
 def test_a_watch_without_news_ends_with_its_time_and_unknown_versions_get_the_whole_list() -> None:
-    async def scenario(one: st.DiscoveryStandIn, client: Client) -> None:
+    async def scenario(one: st.DiscoveryStandIn, client: ClientConnection) -> None:
         one.put(st.ServerRow("s0", "127.0.0.1:1"))
         began = time.monotonic()
         _, none = await get(client, f"?since={one.version}&timeout_ms=40")
@@ -282,13 +282,13 @@
 
             watch = Discovery(asyncio.get_running_loop(), ("127.0.0.1", one.port), tell)
             watch.start()
-            await until(lambda: told)
+            await wait_until(lambda: told)
             one.drain("s0")
-            await until(lambda: len(told) == 2)
+            await wait_until(lambda: len(told) == 2)
             assert [news.version for news in told] == [2, 3]
             watch.close()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 # --- faults ----------------------------------------------------------------------------------------------
@@ -317,7 +317,7 @@
     assert faults.strike() is None
 
 
-async def shown(client: Client, kind: st.FaultKind) -> None:
+async def shown(client: ClientConnection, kind: st.FaultKind) -> None:
     """Waits for what a fault shows to the caller of a RESP endpoint."""
     if kind is st.FaultKind.RESET:
         with pytest.raises(ConnectionResetError):
@@ -345,7 +345,7 @@
     ],
 )
 def test_what_a_faulty_server_shows_and_whether_it_has_run(kind: str, outcome: str, runs: int) -> None:
-    async def scenario(one: st.ServerStandIn, client: Client) -> None:
+    async def scenario(one: st.ServerStandIn, client: ClientConnection) -> None:
         one.faults.inject(st.Fault(st.FaultKind(kind)))
         client.send(b"CALL.GET", CUSTOMER, b"r1", GET)
         await shown(client, st.FaultKind(kind))
@@ -357,7 +357,7 @@
 
 @pytest.mark.parametrize("kind", ["reset", "silence", "spoilt", "unavailable"])
 def test_a_faulty_counter_has_added_unless_it_turned_the_call_away(kind: str) -> None:
-    async def scenario(one: st.CounterStandIn, client: Client) -> None:
+    async def scenario(one: st.CounterStandIn, client: ClientConnection) -> None:
         one.faults.inject(st.Fault(st.FaultKind(kind)))
         client.send(b"INCRTTL", b"a", b"1", b"60000")
         await shown(client, st.FaultKind(kind))
@@ -367,7 +367,7 @@
 
 
 def test_faulty_discovery_resets_stays_silent_or_turns_away() -> None:
-    async def scenario(one: st.DiscoveryStandIn, client: Client) -> None:
+    async def scenario(one: st.DiscoveryStandIn, client: ClientConnection) -> None:
         one.faults.inject(st.Fault(st.FaultKind.UNAVAILABLE))
         assert await get(client) == (503, None)
         one.faults.clear()
@@ -378,7 +378,7 @@
         one.faults.clear()
         one.faults.inject(st.Fault(st.FaultKind.RESET))
         with pytest.raises(ConnectionResetError):
-            await get(await Client.connect(one.port))
+            await get(await ClientConnection.connect(one.port))
 
     on(st.DiscoveryStandIn(), scenario)
 
@@ -399,26 +399,26 @@
         ):
             for endpoint in (one, counter, discovery):
                 endpoint.faults.inject(late)
-            client = await Client.connect(one.port)
+            client = await ClientConnection.connect(one.port)
             assert await took(client.ask(b"CALL.GET", CUSTOMER, b"r1", GET)) >= 0.055
             assert one.ledger.of(b"r1")[0].spent_s() >= 0.055
-            client = await Client.connect(counter.port)
+            client = await ClientConnection.connect(counter.port)
             assert await took(client.ask(b"INCRTTL", b"a", b"1", b"9")) >= 0.055
-            assert await took(get(await Client.connect(discovery.port))) >= 0.055
+            assert await took(get(await ClientConnection.connect(discovery.port))) >= 0.055
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_an_endpoint_that_stopped_refuses_and_comes_back_at_its_address() -> None:
-    async def scenario(one: st.ServerStandIn, client: Client) -> None:
+    async def scenario(one: st.ServerStandIn, client: ClientConnection) -> None:
         port = one.port
         await one.stop()
         with pytest.raises(ConnectionResetError):
             await client.reply()
         with pytest.raises(ConnectionRefusedError):
-            await Client.connect(port)
+            await ClientConnection.connect(port)
         await one.start()
-        again = await Client.connect(port)
+        again = await ClientConnection.connect(port)
         assert await again.ask(b"PING") == b"PONG"
 
     on(server(INSTANT), scenario)
--- a/tests/network/loopback.py
+++ b/tests/network/harness.py
@@ -57,18 +57,18 @@
 SERVED = b"*3\r\n$5\r\nvalue\r\n*-1\r\n$20\r\ninflight=7,queue=2.5\r\n"
 
 
-def play(scenario: Coroutine[Any, Any, None]) -> None:
+def run_scenario(scenario: Coroutine[Any, Any, None]) -> None:
     """Runs a scenario; the limit only keeps a broken test from hanging."""
     uvloop.run(asyncio.wait_for(scenario, 60.0))
 
 
-async def until(condition: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     """Waits until something holds."""
     while not condition():
         await asyncio.sleep(0.002)
 
 
-class Peer:
+class FakeServer:
     """A TCP server on a free port; `script` gets each connection."""
 
     def __init__(self) -> None:
@@ -111,7 +111,7 @@
 Reply = Callable[[list[bytes], asyncio.StreamWriter], Awaitable[bytes | None]]
 
 
-class RespPeer(Peer):
+class FakeRespServer(FakeServer):
     """Answers each command with what `reply` returns; None leaves it unanswered. `log` keeps the order."""
 
     def __init__(self, reply: Reply) -> None:
@@ -135,7 +135,7 @@
         return [words for what, _, words in self.log if what == "command" and words != [b"PING"]]
 
 
-def always(reply: bytes | None) -> Reply:
+def always_reply(reply: bytes | None) -> Reply:
     """The same reply to everything."""
 
     async def answer(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
@@ -144,7 +144,7 @@
     return answer
 
 
-class DiscoveryPeer(Peer):
+class FakeDiscovery(FakeServer):
     """Discovery: `answers` are given out one for each call; when they run out, calls are left waiting."""
 
     def __init__(self, *answers: bytes) -> None:
@@ -158,19 +158,19 @@
             self.targets.append(head.split(b" ")[1].decode())
             self.times.append(asyncio.get_running_loop().time())
             number = len(self.targets) - 1
-            await until(lambda: len(self.answers) > number)  # noqa: B023
+            await wait_until(lambda: len(self.answers) > number)  # noqa: B023
             writer.write(self.answers[number])
 
 
-def http(body: bytes, status: str = "200 OK") -> bytes:
+def http_response(body: bytes, status: str = "200 OK") -> bytes:
     return b"HTTP/1.1 %b\r\nContent-Length: %d\r\n\r\n%b" % (status.encode(), len(body), body)
 
 
-def listing(version: int, rows: list[dict[str, Any]], full: bool = True) -> bytes:
-    return http(json.dumps({"version": version, "full": full, "servers": rows}).encode())
+def endpoint_list_response(version: int, rows: list[dict[str, Any]], full: bool = True) -> bytes:
+    return http_response(json.dumps({"version": version, "full": full, "servers": rows}).encode())
 
 
-def row(server: str, port: int, state: str = "Ready", started_ms: float = 0.0) -> dict[str, Any]:
+def server_row(server: str, port: int, state: str = "Ready", started_ms: float = 0.0) -> dict[str, Any]:
     return {
         "id": server,
         "addr": f"127.0.0.1:{port}",
@@ -183,7 +183,7 @@
     }
 
 
-class Client:
+class ClientConnection:
     """A client connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -191,7 +191,7 @@
         self.parser = hiredis.Reader()
 
     @classmethod
-    async def connect(cls, port: int) -> Client:
+    async def connect(cls, port: int) -> ClientConnection:
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
     def send(self, *words: bytes) -> None:
@@ -218,7 +218,7 @@
             return True
 
 
-class Script:
+class ScriptedPolicy:
     """Decisions made by a test: `decide` turns each event into actions. All events are kept."""
 
     def __init__(self, decide: Callable[[Event], list[Action]]) -> None:
@@ -238,7 +238,7 @@
         return [event for event in self.events if isinstance(event, kind)]
 
 
-def send_to(server: str, timeout_ms: float = 0.0) -> Callable[[Event], list[Action]]:
+def forward_to(server: str, timeout_ms: float = 0.0) -> Callable[[Event], list[Action]]:
     """Sends each request once; what was not served fails."""
 
     def decide(event: Event) -> list[Action]:
@@ -251,10 +251,10 @@
     return decide
 
 
-class Site:
+class RunningGateway:
     """A gateway with its peers."""
 
-    def __init__(self, program: Program, servers: list[RespPeer], counter: RespPeer) -> None:
+    def __init__(self, program: Program, servers: list[FakeRespServer], counter: FakeRespServer) -> None:
         self.program, self.servers, self.counter = program, servers, counter
 
     @property
@@ -263,8 +263,8 @@
         assert server is not None
         return int(server.sockets[0].getsockname()[1])
 
-    async def client(self) -> Client:
-        return await Client.connect(self.port)
+    async def client(self) -> ClientConnection:
+        return await ClientConnection.connect(self.port)
 
 
 def raw_config(discovery: int, counter: int, rows: list[dict[str, Any]], listen: int = 1) -> dict[str, Any]:
@@ -288,13 +288,13 @@
 
 
 @asynccontextmanager
-async def site(
+async def running_gateway(
     *replies: Reply,
     decisions: Decisions | None = None,
     counter: Reply | None = None,
-    discovery: DiscoveryPeer | None = None,
+    discovery: FakeDiscovery | None = None,
     **changes: Any,
-) -> AsyncIterator[Site]:
+) -> AsyncIterator[RunningGateway]:
     """A gateway that serves, with one server s0, s1, ... for each reply."""
     totals: dict[bytes, float] = {}
 
@@ -305,23 +305,25 @@
         text = repr(totals[words[1]]).encode()
         return b"$%d\r\n%b\r\n" % (len(text), text)
 
-    servers = [RespPeer(reply) for reply in replies]
-    counts = RespPeer(counter or add)
+    servers = [FakeRespServer(reply) for reply in replies]
+    counts = FakeRespServer(counter or add)
     for peer in (*servers, counts):
         await peer.start()
-    rows = [row(f"s{i}", peer.port) for i, peer in enumerate(servers)]
-    discovery = discovery or DiscoveryPeer(listing(1, rows))
+    rows = [server_row(f"s{i}", peer.port) for i, peer in enumerate(servers)]
+    discovery = discovery or FakeDiscovery(endpoint_list_response(1, rows))
     await discovery.start()
     made = config(discovery.port, counts.port, rows, **changes)
     program = Program(made, asyncio.get_running_loop(), decisions)
     await program.start()
     if program.counter is not None:
-        await until(lambda: program.counter is None or all(link.ready() for link in program.counter.links))
+        await wait_until(
+            lambda: program.counter is None or all(link.ready() for link in program.counter.links)
+        )
     try:
-        yield Site(program, servers, counts)
+        yield RunningGateway(program, servers, counts)
     finally:
         await program.close()
-        peers: list[Peer] = [*servers, counts, discovery]
+        peers: list[FakeServer] = [*servers, counts, discovery]
         for each in peers:
             await each.stop()
 
--- a/tests/network/test_descriptors.py
+++ b/tests/network/test_descriptors.py
@@ -5,63 +5,27 @@
 import asyncio
 import json
 import os
-import resource
-import socket
-import sys
-from collections.abc import AsyncIterator
-from contextlib import asynccontextmanager
 from pathlib import Path
 
 import pytest
 
 from quota_gateway.network.__main__ import RESERVED, budget
 from quota_gateway.network.counter_client import LINKS
-from tests.network.loopback import (
+from tests.network.harness import (
     CUSTOMER,
     GET,
     SERVED,
-    Client,
-    DiscoveryPeer,
-    RespPeer,
-    always,
-    listing,
-    play,
+    ClientConnection,
+    FakeDiscovery,
+    FakeRespServer,
+    always_reply,
+    endpoint_list_response,
     raw_config,
-    row,
-    until,
+    run_scenario,
+    server_row,
+    wait_until,
 )
-from tests.network.test_peers import ROOT, patient
-
-
-def free_port() -> int:
-    """A port that nobody listens on."""
-    with socket.socket() as found:
-        found.bind(("127.0.0.1", 0))
-        return int(found.getsockname()[1])
-
-
-@asynccontextmanager
-async def limited(path: Path, sockets: int) -> AsyncIterator[asyncio.subprocess.Process]:
-    """The program with so many descriptors and no more, ended with the test whatever comes of that."""
-
-    def limit() -> None:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets))
-
-    process = await asyncio.create_subprocess_exec(
-        sys.executable,
-        "-m",
-        "quota_gateway.network",
-        cwd=ROOT,
-        stderr=asyncio.subprocess.PIPE,
-        preexec_fn=limit,
-        env={**os.environ, "EDGE_CONFIG": str(path)},
-    )
-    try:
-        yield process
-    finally:
-        if process.returncode is None:
-            process.kill()
-            await process.wait()
+from tests.network.processes import free_port, limited, patient
 
 
 class Crowd:
@@ -105,27 +69,27 @@
             await release.wait()
             return SERVED
 
-        counts, server = RespPeer(always(b"$1\r\n1\r\n")), RespPeer(held)
+        counts, server = FakeRespServer(always_reply(b"$1\r\n1\r\n")), FakeRespServer(held)
         await server.start()
         discovery_port, counter_port, listen = free_port(), free_port(), free_port()
         path = tmp_path / "config.json"
-        raw = raw_config(discovery_port, counter_port, [row("old", free_port())], listen)
+        raw = raw_config(discovery_port, counter_port, [server_row("old", free_port())], listen)
         path.write_text(json.dumps(raw | {"limits": {"sockets": sockets}}))
         async with limited(path, sockets) as process:
             await (await patient(listen)).ask(b"PING")
             crowd = Crowd(listen)
             crowd.come(2 * sockets)
-            await until(lambda: crowd.accepted > sockets and crowd.closed > sockets // 2)
-            discovery = DiscoveryPeer(listing(2, [row("new", server.port)]))
+            await wait_until(lambda: crowd.accepted > sockets and crowd.closed > sockets // 2)
+            discovery = FakeDiscovery(endpoint_list_response(2, [server_row("new", server.port)]))
             await discovery.start(discovery_port)
-            await until(lambda: len(discovery.targets) == 2)  # the list was read, and a watch is open
-            good = await Client.connect(listen)
+            await wait_until(lambda: len(discovery.targets) == 2)  # the list was read, and a watch is open
+            good = await ClientConnection.connect(listen)
             most = min(budget(sockets).servers, 24)  # more at once the module holds for a surge
             for number in range(most):
                 good.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
-            await until(lambda: len(server.calls()) == most)
+            await wait_until(lambda: len(server.calls()) == most)
             await counts.start(counter_port)
-            await until(lambda: len(counts.writers) >= LINKS)
+            await wait_until(lambda: len(counts.writers) >= LINKS)
             assert len(os.listdir(f"/proc/{process.pid}/fd")) <= sockets
             release.set()
             assert [await good.reply() for _ in range(most)] == [b"value"] * most
@@ -137,7 +101,7 @@
         for peer in (counts, server, discovery):
             await peer.stop()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("sockets", [64, 100, 256, 672, 1024, 4096])
--- a/tests/network/test_discovery.py
+++ b/tests/network/test_discovery.py
@@ -15,7 +15,16 @@
 from quota_gateway.network.discovery import watch as discovery_module
 from quota_gateway.network.discovery.watch import TOLD_S, Discovery, Exchange
 from quota_gateway.policy_api.endpoints import EndpointUpdate
-from tests.network.loopback import DiscoveryPeer, Script, http, listing, play, row, site, until
+from tests.network.harness import (
+    FakeDiscovery,
+    ScriptedPolicy,
+    endpoint_list_response,
+    http_response,
+    run_scenario,
+    running_gateway,
+    server_row,
+    wait_until,
+)
 
 NEAR_S = 0.25  # a drain's grace
 
@@ -270,27 +279,27 @@
 
 
 CUT = b'HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"version":5,'
-BUSY, NO_HTTP = http(b"", "503 Service Unavailable"), b"HTTP/1.1 what\r\n\r\n"
-ENDINGS = [BUSY, http(b"", "500 Oops"), http(b"{"), NO_HTTP, CUT]
+BUSY, NO_HTTP = http_response(b"", "503 Service Unavailable"), b"HTTP/1.1 what\r\n\r\n"
+ENDINGS = [BUSY, http_response(b"", "500 Oops"), http_response(b"{"), NO_HTTP, CUT]
 
 
 @pytest.mark.parametrize("ending", ENDINGS, ids=["503", "500", "unreadable", "not HTTP", "cut in mid-body"])
 def test_a_drain_is_heard_within_its_grace_after_any_bad_answer_of_an_agent(ending: bytes) -> None:
     async def scenario() -> None:
-        rows = [row("s0", 80), row("s9", 81)]
-        discovery = DiscoveryPeer(listing(4, rows))
-        script = Script(lambda event: [])
-        async with site(decisions=script, discovery=discovery) as one:
-            await until(lambda: len(discovery.targets) == 2 and "s9" in one.program.servers.pools)
-            drained = [rows[0], row("s9", 81, "Terminating")]
-            discovery.answers += [ending, listing(5, drained)]
+        rows = [server_row("s0", 80), server_row("s9", 81)]
+        discovery = FakeDiscovery(endpoint_list_response(4, rows))
+        script = ScriptedPolicy(lambda event: [])
+        async with running_gateway(decisions=script, discovery=discovery) as one:
+            await wait_until(lambda: len(discovery.targets) == 2 and "s9" in one.program.servers.pools)
+            drained = [rows[0], server_row("s9", 81, "Terminating")]
+            discovery.answers += [ending, endpoint_list_response(5, drained)]
             if ending is CUT:
-                await until(lambda: one.program.discovery.exchange.status == 200)  # type: ignore[union-attr]
+                await wait_until(lambda: one.program.discovery.exchange.status == 200)  # type: ignore[union-attr]
                 discovery.writers[-1].transport.abort()
-            await until(lambda: one.program.servers.pools["s9"].stop_at is not None)
+            await wait_until(lambda: one.program.servers.pools["s9"].stop_at is not None)
             assert discovery.times[2] - discovery.times[1] < 2 * NEAR_S  # a watch and a pause
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_an_agent_that_can_not_be_reached_is_tried_again_within_a_drains_grace() -> None:
@@ -309,16 +318,18 @@
 def test_a_lost_watch_goes_on_from_the_version_held() -> None:
     # A whole list for every gateway, each time, is what kept discovery from answering.
     async def scenario() -> None:
-        rows = [row("a", 80), row("b", 81)]
-        discovery = DiscoveryPeer(listing(4, rows), http(b"", "503 Service Unavailable"))
-        script = Script(lambda event: [])
-        async with site(decisions=script, discovery=discovery):
-            await until(lambda: len(discovery.targets) == 3)
+        rows = [server_row("a", 80), server_row("b", 81)]
+        discovery = FakeDiscovery(
+            endpoint_list_response(4, rows), http_response(b"", "503 Service Unavailable")
+        )
+        script = ScriptedPolicy(lambda event: [])
+        async with running_gateway(decisions=script, discovery=discovery):
+            await wait_until(lambda: len(discovery.targets) == 3)
             discovery.writers[-1].transport.abort()
-            await until(lambda: len(discovery.targets) == 4)
-            discovery.answers += [b"", listing(5, [row("c", 82)], full=False)]
-            await until(lambda: len(script.of(EndpointUpdate)) == 3)
+            await wait_until(lambda: len(discovery.targets) == 4)
+            discovery.answers += [b"", endpoint_list_response(5, [server_row("c", 82)], full=False)]
+            await wait_until(lambda: len(script.of(EndpointUpdate)) == 3)
         since = [target.partition("since=")[2].partition("&")[0] for target in discovery.targets]
         assert since[:4] == ["1", "4", "4", "4"]
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/network/test_ending.py
+++ b/tests/network/test_ending.py
@@ -12,7 +12,18 @@
 from quota_gateway.network import server_pool as servers_module
 from quota_gateway.network.__main__ import leave_s
 from quota_gateway.network.client_connection import MOST_PENDING
-from tests.network.loopback import CUSTOMER, GET, SERVED, Reply, Script, always, play, send_to, site, until
+from tests.network.harness import (
+    CUSTOMER,
+    GET,
+    SERVED,
+    Reply,
+    ScriptedPolicy,
+    always_reply,
+    forward_to,
+    run_scenario,
+    running_gateway,
+    wait_until,
+)
 
 QUESTION = b"*4\r\n$8\r\nCALL.GET\r\n$16\r\n%b\r\n$1\r\n9\r\n$%d\r\n%b\r\n" % (CUSTOMER, len(GET), GET)
 
@@ -30,37 +41,39 @@
 def test_what_comes_on_a_busy_connection_after_sigterm_is_served() -> None:
     async def scenario() -> None:
         release = asyncio.Event()
-        async with site(held(release), decisions=Script(send_to("s0"))) as one:
+        async with running_gateway(held(release), decisions=ScriptedPolicy(forward_to("s0"))) as one:
             client, silent = await one.client(), await one.client()
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
-            await until(lambda: len(one.servers[0].calls()) == 1 and len(one.program.listener.clients) == 2)
+            await wait_until(
+                lambda: len(one.servers[0].calls()) == 1 and len(one.program.listener.clients) == 2
+            )
             server = one.program.listener.server
             leaving = asyncio.ensure_future(one.program.leave())
-            await until(lambda: server is not None and not server.is_serving())
+            await wait_until(lambda: server is not None and not server.is_serving())
             client.send(b"CALL.GET", CUSTOMER, b"2", GET)  # behind the first, whose answer is still to come
             silent.send(b"CALL.GET", CUSTOMER, b"3", GET)  # its connection came before the end, and is new
-            await until(lambda: len(one.servers[0].calls()) == 3)
+            await wait_until(lambda: len(one.servers[0].calls()) == 3)
             release.set()
             assert [await client.reply() for _ in range(3)] == [b"value", b"value", None]
             assert [await silent.reply() for _ in range(2)] == [b"value", None]
             await leaving
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_at_its_end_a_gateway_answers_what_it_holds_and_refuses_what_still_comes() -> None:
     async def scenario() -> None:
-        async with site(always(None), decisions=Script(send_to("s0"))) as one:
+        async with running_gateway(always_reply(None), decisions=ScriptedPolicy(forward_to("s0"))) as one:
             client, other = await one.client(), await one.client()
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
-            await until(lambda: len(one.servers[0].calls()) == 1)
+            await wait_until(lambda: len(one.servers[0].calls()) == 1)
             one.program.gateway.leave()
             assert str(await client.reply()) == "ERR failed"  # it may have run
             assert str(await other.ask(b"CALL.GET", CUSTOMER, b"2", GET)) == "BUSY"
             assert len(one.servers[0].calls()) == 1
             assert not one.program.gateway.live
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(("longest_ms", "end_s"), [(400.0, 0.6), (1000.0, 1.2), (2500.0, 2.7), (9000.0, 3.2)])
@@ -72,10 +85,10 @@
     """It lies in the kernel, unread, at the moment at which the connection would be closed as idle."""
 
     async def scenario() -> None:
-        async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
+        async with running_gateway(always_reply(SERVED), decisions=ScriptedPolicy(forward_to("s0"))) as one:
             with socket.create_connection(("127.0.0.1", one.port)) as client:
                 client.setblocking(False)
-                await until(lambda: one.program.listener.clients)
+                await wait_until(lambda: one.program.listener.clients)
                 (held,) = one.program.listener.clients
                 client.send(QUESTION)  # no turn of the loop ...
                 held.finish()  # ... and this
@@ -85,7 +98,7 @@
                 held.finish()
                 assert await loop.sock_recv(client, 65536) == b""
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("body", [0, 20_000])
@@ -94,23 +107,23 @@
 
     async def scenario() -> None:
         release = asyncio.Event()
-        async with site(held(release), decisions=Script(send_to("s0"))) as one:
+        async with running_gateway(held(release), decisions=ScriptedPolicy(forward_to("s0"))) as one:
             client = await one.client()
             for number in range(MOST_PENDING + 8):
                 extra = (b"x" * body,) if body and number >= MOST_PENDING else ()
                 client.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET, *extra)
             gateway = one.program.gateway
-            await until(lambda: len(gateway.live) == MOST_PENDING)
+            await wait_until(lambda: len(gateway.live) == MOST_PENDING)
             (taken,) = one.program.listener.clients
-            await until(lambda: taken.paused or not body)
+            await wait_until(lambda: taken.paused or not body)
             client.writer.close()
-            await until(lambda: not gateway.live)
+            await wait_until(lambda: not gateway.live)
             release.set()
-            await until(lambda: not gateway.out)
+            await wait_until(lambda: not gateway.out)
             assert len(one.servers[0].calls()) <= MOST_PENDING
             assert clients_module.GONE_S <= 0.05  # nothing is sent on 0.1 s later
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("last", [SERVED, b""])
@@ -118,7 +131,7 @@
     """A second answer that came late would be the next request's; an end would reset that."""
 
     async def scenario() -> None:
-        async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
+        async with running_gateway(always_reply(SERVED), decisions=ScriptedPolicy(forward_to("s0"))) as one:
             client = await one.client()
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             pool = one.program.servers.pools["s0"]
@@ -130,9 +143,9 @@
             with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as peer:
                 peer.send(last) if last else peer.shutdown(socket.SHUT_WR)  # no turn of the loop ...
             assert pool.take() is None  # ... is between these
-            await until(lambda: not pool.open)
+            await wait_until(lambda: not pool.open)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("closed_s", [0.2, 1.0, 3.0, 15.0])
@@ -144,15 +157,15 @@
     """A crowd that came in one turn of the loop pushed out whoever had just sent a request."""
 
     async def scenario() -> None:
-        async with site(always(SERVED), decisions=Script(send_to("s0"))) as one:
+        async with running_gateway(always_reply(SERVED), decisions=ScriptedPolicy(forward_to("s0"))) as one:
             with socket.create_connection(("127.0.0.1", one.port)) as client:
                 client.setblocking(False)
                 listener = one.program.listener
-                await until(lambda: listener.clients)
+                await wait_until(lambda: listener.clients)
                 (held,) = listener.clients
                 assert listener.dispensable() is held
                 client.send(QUESTION)  # no turn of the loop is between these
                 assert listener.dispensable() is None
                 assert await asyncio.get_running_loop().sock_recv(client, 65536) == b"$5\r\nvalue\r\n"
 
-    play(scenario())
+    run_scenario(scenario())
--- a/tests/network/test_gateway.py
+++ b/tests/network/test_gateway.py
@@ -18,25 +18,25 @@
     Request,
     TimerFired,
 )
-from tests.network.loopback import (
+from tests.network.harness import (
     CHARGE,
     CUSTOMER,
     GET,
     ORDER,
     SERVED,
     Reply,
-    Script,
-    always,
-    play,
-    send_to,
-    site,
-    until,
+    ScriptedPolicy,
+    always_reply,
+    forward_to,
+    run_scenario,
+    running_gateway,
+    wait_until,
 )
 
 
 def test_a_request_is_served_and_goes_on_unchanged_but_for_the_time_left() -> None:
     async def scenario() -> None:
-        async with site(always(SERVED)) as one:
+        async with running_gateway(always_reply(SERVED)) as one:
             client = await one.client()
             assert await client.ask(b"PING") == b"PONG"
             assert await client.ask(b"CALL.POST", CUSTOMER, b"id-1", ORDER, b"body\r\n*1") == b"value"
@@ -47,7 +47,7 @@
             assert (before, after) == (b"c=order,t=basic,", b"k=5c0f6e1a2b3d4c59")
             assert 0 < int(left) < 20000
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 async def hang_up(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
@@ -56,29 +56,29 @@
 
 
 ENDINGS: list[tuple[Reply, CallOutcome]] = [
-    (always(SERVED), CallOutcome.OK),
-    (always(b"*3\r\n$0\r\n\r\n*-1\r\n$-1\r\n"), CallOutcome.OK),
-    (always(b"*3\r\n$1\r\nv\r\n*1\r\n:7\r\n:5\r\n"), CallOutcome.OK),
-    (always(SERVED + b"noise"), CallOutcome.OK),
-    (always(b"*1\r\n$0\r\n\r\n"), CallOutcome.ERROR),
-    (always(b"*4\r\n$1\r\nv\r\n$-1\r\n$-1\r\n$-1\r\n"), CallOutcome.ERROR),
-    (always(b"*3\r\n$3\r\nvalue\r\n$-1\r\n$-1\r\n"), CallOutcome.ERROR),
-    (always(b"*3\r\n$3\r\nvalXY$-1\r\n$-1\r\n"), CallOutcome.ERROR),
-    (always(b"*3\r\n+value\r\n$-1\r\n$-1\r\n"), CallOutcome.ERROR),
-    (always(b"*3\r\n$3000000000\r\n" + b"x" * 500), CallOutcome.ERROR),
-    (always(b"*3\r\n$50\r\nvalue\r\n$-1\r\n$-1\r\n"), CallOutcome.ERROR),  # and nothing more comes
-    (always(b"*3\r\n*999999999\r\n"), CallOutcome.ERROR),
-    (always(b"-BUSY or not\r\n"), CallOutcome.ERROR),
-    (always(b"-BUSY\r\nnoise"), CallOutcome.ERROR),
-    (always(b"-BUSY queue=3,inflight=9\r\n"), CallOutcome.REJECTED),
-    (always(b"-ERR failed queue=3,inflight=9\r\n"), CallOutcome.ERROR),
-    (always(b"-SYNTAX no\r\n"), CallOutcome.ERROR),
-    (always(b"-BUSY\r\n"), CallOutcome.REJECTED),
-    (always(b"*3\r\n$-1\r\n*-1\r\n$-1\r\n"), CallOutcome.ERROR),
-    (always(b"$5\r\nvalue\r\n"), CallOutcome.ERROR),
-    (always(b"what is this?\r\n"), CallOutcome.ERROR),
+    (always_reply(SERVED), CallOutcome.OK),
+    (always_reply(b"*3\r\n$0\r\n\r\n*-1\r\n$-1\r\n"), CallOutcome.OK),
+    (always_reply(b"*3\r\n$1\r\nv\r\n*1\r\n:7\r\n:5\r\n"), CallOutcome.OK),
+    (always_reply(SERVED + b"noise"), CallOutcome.OK),
+    (always_reply(b"*1\r\n$0\r\n\r\n"), CallOutcome.ERROR),
+    (always_reply(b"*4\r\n$1\r\nv\r\n$-1\r\n$-1\r\n$-1\r\n"), CallOutcome.ERROR),
+    (always_reply(b"*3\r\n$3\r\nvalue\r\n$-1\r\n$-1\r\n"), CallOutcome.ERROR),
+    (always_reply(b"*3\r\n$3\r\nvalXY$-1\r\n$-1\r\n"), CallOutcome.ERROR),
+    (always_reply(b"*3\r\n+value\r\n$-1\r\n$-1\r\n"), CallOutcome.ERROR),
+    (always_reply(b"*3\r\n$3000000000\r\n" + b"x" * 500), CallOutcome.ERROR),
+    (always_reply(b"*3\r\n$50\r\nvalue\r\n$-1\r\n$-1\r\n"), CallOutcome.ERROR),  # and nothing more comes
+    (always_reply(b"*3\r\n*999999999\r\n"), CallOutcome.ERROR),
+    (always_reply(b"-BUSY or not\r\n"), CallOutcome.ERROR),
+    (always_reply(b"-BUSY\r\nnoise"), CallOutcome.ERROR),
+    (always_reply(b"-BUSY queue=3,inflight=9\r\n"), CallOutcome.REJECTED),
+    (always_reply(b"-ERR failed queue=3,inflight=9\r\n"), CallOutcome.ERROR),
+    (always_reply(b"-SYNTAX no\r\n"), CallOutcome.ERROR),
+    (always_reply(b"-BUSY\r\n"), CallOutcome.REJECTED),
+    (always_reply(b"*3\r\n$-1\r\n*-1\r\n$-1\r\n"), CallOutcome.ERROR),
+    (always_reply(b"$5\r\nvalue\r\n"), CallOutcome.ERROR),
+    (always_reply(b"what is this?\r\n"), CallOutcome.ERROR),
     (hang_up, CallOutcome.RESET),
-    (always(None), CallOutcome.TIMEOUT),
+    (always_reply(None), CallOutcome.TIMEOUT),
 ]
 
 
@@ -86,8 +86,8 @@
 def test_each_ending_is_told_once_as_the_protocol_reads_it(reply: Reply, ending: CallOutcome) -> None:
     async def scenario() -> None:
         # The time-out is long enough not to cut in where an answer comes, on any machine.
-        script = Script(send_to("s0", 200.0 if ending is CallOutcome.TIMEOUT else 0.0))
-        async with site(reply, decisions=script) as one:
+        script = ScriptedPolicy(forward_to("s0", 200.0 if ending is CallOutcome.TIMEOUT else 0.0))
+        async with running_gateway(reply, decisions=script) as one:
             client = await one.client()
             answer = await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)
             ended = script.of(AttemptCompleted)
@@ -96,19 +96,19 @@
             assert isinstance(answer, bytes) is (ending is CallOutcome.OK)
             assert ended[0].duration_ms >= 0.0
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_refused_connection_did_not_run() -> None:
     async def scenario() -> None:
-        script = Script(send_to("s0"))
-        async with site(always(SERVED), decisions=script) as one:
+        script = ScriptedPolicy(forward_to("s0"))
+        async with running_gateway(always_reply(SERVED), decisions=script) as one:
             await one.servers[0].stop()
             client = await one.client()
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)) == "ERR failed"
             assert [event.outcome for event in script.of(AttemptCompleted)] == [CallOutcome.UNREACHABLE]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_second_attempt_goes_only_once_the_first_is_closed() -> None:
@@ -126,13 +126,15 @@
                 return [StartAttempt(event.request_id, "s1", 0.0)]
             return []
 
-        async with site(always(None), always(SERVED), decisions=Script(decide)) as one:
+        async with running_gateway(
+            always_reply(None), always_reply(SERVED), decisions=ScriptedPolicy(decide)
+        ) as one:
             client = await one.client()
             assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
             assert seen == ["timeout with 0 open"]
-            await until(lambda: ("closed", 1, []) in one.servers[0].log)
+            await wait_until(lambda: ("closed", 1, []) in one.servers[0].log)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_cancel_closes_the_connection_and_is_told_once() -> None:
@@ -144,14 +146,14 @@
                 return [CancelAttempt("1", 0)] if one.servers[0].calls() else [SetTimer(5, 0.0)]
             return [Fail(event.request_id)] if isinstance(event, AttemptCompleted) else []
 
-        script = Script(decide)
-        async with site(always(None), decisions=script) as one:
+        script = ScriptedPolicy(decide)
+        async with running_gateway(always_reply(None), decisions=script) as one:
             client = await one.client()
             assert str(await client.ask(b"CALL.POST", CUSTOMER, b"1", CHARGE)) == "ERR failed"
             assert [event.outcome for event in script.of(AttemptCompleted)] == [CallOutcome.CANCELLED]
-            await until(lambda: ("closed", 1, []) in one.servers[0].log)
+            await wait_until(lambda: ("closed", 1, []) in one.servers[0].log)
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_two_attempts_at_once_are_not_made() -> None:
@@ -161,17 +163,17 @@
                 return [StartAttempt(event.request_id, "s0"), StartAttempt(event.request_id, "s1")]
             return []
 
-        script = Script(decide)
-        async with site(always(None), always(SERVED), decisions=script) as one:
+        script = ScriptedPolicy(decide)
+        async with running_gateway(always_reply(None), always_reply(SERVED), decisions=script) as one:
             client = await one.client()
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
-            await until(lambda: script.of(AttemptCompleted))
+            await wait_until(lambda: script.of(AttemptCompleted))
             assert [(e.attempt, e.outcome) for e in script.of(AttemptCompleted)] == [
                 (1, CallOutcome.NOT_SENT)
             ]
             assert one.servers[1].calls() == []
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_refusal_of_what_may_have_run_becomes_a_failure() -> None:
@@ -184,11 +186,11 @@
             return [Reject(event.request_id, 7.0)] if isinstance(event, AttemptCompleted) else []
 
         for reply, answer in ((b"-ERR failed\r\n", "ERR failed"), (b"-BUSY\r\n", "BUSY 7")):
-            async with site(always(reply), decisions=Script(decide)) as one:
+            async with running_gateway(always_reply(reply), decisions=ScriptedPolicy(decide)) as one:
                 client = await one.client()
                 assert str(await client.ask(b"CALL.POST", CUSTOMER, b"1", CHARGE)) == answer
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize(("sent", "answer"), [(False, "BUSY"), (True, "ERR failed")])
@@ -197,15 +199,15 @@
         def decide(event: Event) -> list[Action]:
             return [StartAttempt(event.request_id, "s0")] if sent and isinstance(event, Request) else []
 
-        script = Script(decide)
-        async with site(always(None), decisions=script) as one:
+        script = ScriptedPolicy(decide)
+        async with running_gateway(always_reply(None), decisions=script) as one:
             client = await one.client()
             fields = CHARGE.replace(b"d=20000", b"d=300")
             assert str(await client.ask(b"CALL.POST", CUSTOMER, b"1", fields)) == answer
             assert script.of(ClientDisconnected) == [ClientDisconnected("1")]
             assert [e.outcome for e in script.of(AttemptCompleted)] == ([CallOutcome.TIMEOUT] if sent else [])
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_fault_in_the_decisions_costs_nobody_the_answer() -> None:
@@ -213,21 +215,21 @@
         def decide(event: Event) -> list[Action]:
             if isinstance(event, Request) and event.class_name == "read":
                 raise RuntimeError("a fault")
-            return send_to("s0")(event)
+            return forward_to("s0")(event)
 
-        script = Script(decide)
+        script = ScriptedPolicy(decide)
 
         def handle(now_ms: float, event: Event) -> list[Action]:
             script.events.append(event)
             return decide(event)
 
         script.handle = handle  # type: ignore[method-assign]
-        async with site(always(SERVED), decisions=script) as one:
+        async with running_gateway(always_reply(SERVED), decisions=script) as one:
             client = await one.client()
             assert str(await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)) == "BUSY"
             assert await client.ask(b"CALL.POST", CUSTOMER, b"2", CHARGE) == b"value"
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_replies_come_in_the_order_of_the_commands() -> None:
@@ -239,31 +241,31 @@
                 await release.wait()
             return b"*3\r\n$1\r\n%b\r\n*-1\r\n$-1\r\n" % words[2]
 
-        script = Script(send_to("s0"))
-        async with site(reply, decisions=script) as one:
+        script = ScriptedPolicy(forward_to("s0"))
+        async with running_gateway(reply, decisions=script) as one:
             client = await one.client()
             for name in (b"1", b"2", b"3"):
                 client.send(b"CALL.GET", CUSTOMER, name, GET)
             client.send(b"PING")
-            await until(lambda: len(script.of(AttemptCompleted)) == 2)
+            await wait_until(lambda: len(script.of(AttemptCompleted)) == 2)
             release.set()
             assert [await client.reply() for _ in range(4)] == [b"1", b"2", b"3", b"PONG"]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_a_client_that_leaves_is_told_to_the_module() -> None:
     async def scenario() -> None:
-        script = Script(send_to("s0"))
-        async with site(always(None), decisions=script) as one:
+        script = ScriptedPolicy(forward_to("s0"))
+        async with running_gateway(always_reply(None), decisions=script) as one:
             client = await one.client()
             client.send(b"CALL.GET", CUSTOMER, b"1", GET)
-            await until(lambda: one.servers[0].calls())
+            await wait_until(lambda: one.servers[0].calls())
             client.writer.close()
-            await until(lambda: script.of(ClientDisconnected))
+            await wait_until(lambda: script.of(ClientDisconnected))
             assert one.program.gateway.live == {}
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_timers_fire_at_their_time_or_after() -> None:
@@ -277,14 +279,14 @@
                 fired.append(one_clock.now())
             return []
 
-        one_clock, script = Clock(), Script(decide)
+        one_clock, script = Clock(), ScriptedPolicy(decide)
         start = one_clock.now()
-        async with site(decisions=script):
-            await until(lambda: fired)
+        async with running_gateway(decisions=script):
+            await wait_until(lambda: fired)
             assert fired[0] >= start + 5.0
             assert script.of(TimerFired) == [TimerFired(3)]
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_the_clock_is_unix_time_and_never_goes_back() -> None:
--- a/tests/network/test_long_lists.py
+++ b/tests/network/test_long_lists.py
@@ -12,19 +12,19 @@
 
 from quota_gateway.network.discovery.watch import LONG_BODY, STEP, ListError, LongList, read_list
 from quota_gateway.policy_api.endpoints import EndpointUpdate
-from tests.network.loopback import (
+from tests.network.harness import (
     CUSTOMER,
     GET,
     SERVED,
-    DiscoveryPeer,
-    Script,
-    always,
-    http,
-    play,
-    row,
-    send_to,
-    site,
-    until,
+    FakeDiscovery,
+    ScriptedPolicy,
+    always_reply,
+    forward_to,
+    http_response,
+    run_scenario,
+    running_gateway,
+    server_row,
+    wait_until,
 )
 
 MANY = 20_000
@@ -32,7 +32,7 @@
 
 def rows(many: int) -> list[dict[str, Any]]:
     states = ["Ready"] * 8 + ["Terminating", "Strange"]
-    return [row(f"s-{i:08x}", 1 + i % 60_000, states[i % 10], float(i % 3)) for i in range(many)]
+    return [server_row(f"s-{i:08x}", 1 + i % 60_000, states[i % 10], float(i % 3)) for i in range(many)]
 
 
 def read(body: bytes) -> Any:
@@ -88,13 +88,13 @@
     """It took 0.1 s to read and as long to take in; the loop now turns in between, at least once a step."""
 
     async def scenario() -> None:
-        many = [*rows(MANY), row("s0", 80)]
+        many = [*rows(MANY), server_row("s0", 80)]
         body = json.dumps({"version": 9, "full": True, "servers": many}).encode()
         assert len(body) > LONG_BODY
-        discovery = DiscoveryPeer()
-        script = Script(send_to("s0"))
-        async with site(always(SERVED), decisions=script, discovery=discovery) as one:
-            many[-1] = row("s0", one.servers[0].port)
+        discovery = FakeDiscovery()
+        script = ScriptedPolicy(forward_to("s0"))
+        async with running_gateway(always_reply(SERVED), decisions=script, discovery=discovery) as one:
+            many[-1] = server_row("s0", one.servers[0].port)
             client = await one.client()
             gateway, turns, served = one.program.gateway, 0, []
 
@@ -111,11 +111,13 @@
                     served.append(len(gateway.servers.pools))
 
             tasks = [asyncio.ensure_future(turning()), asyncio.ensure_future(asking())]
-            await until(lambda: served)
+            await wait_until(lambda: served)
             before = turns
-            discovery.answers.append(http(json.dumps({"version": 9, "full": True, "servers": many}).encode()))
+            discovery.answers.append(
+                http_response(json.dumps({"version": 9, "full": True, "servers": many}).encode())
+            )
             active = sum(server["state"] == "Ready" for server in many)
-            await until(lambda: len(gateway.servers.pools) >= active)
+            await wait_until(lambda: len(gateway.servers.pools) >= active)
             assert turns - before >= 2 * MANY // STEP
             assert any(1 < pools < active for pools in served)  # a request was served in the middle of it
             taken = script.of(EndpointUpdate)
@@ -123,4 +125,4 @@
             for task in tasks:
                 task.cancel()
 
-    play(scenario())
+    run_scenario(scenario())
--- /dev/null
+++ b/tests/network/test_process.py
@@ -0,0 +1,215 @@
+"""The gateway as a process: configuration, signals, reload, graceful shutdown."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import signal
+from pathlib import Path
+
+import pytest
+
+from quota_gateway.network import counter_client as counter_module
+from quota_gateway.network.counter_client import Counter
+from quota_gateway.policy_api.events import CallOutcome
+from tests.network.harness import (
+    CUSTOMER,
+    GET,
+    ORDER,
+    SERVED,
+    ClientConnection,
+    FakeDiscovery,
+    FakeRespServer,
+    ScriptedPolicy,
+    always_reply,
+    endpoint_list_response,
+    raw_config,
+    run_scenario,
+    running_gateway,
+    server_row,
+    wait_until,
+)
+from tests.network.processes import patient, start
+
+
+@pytest.mark.parametrize(
+    "text", ["", "{", "[]", "{}", '{"settings":{}}', '{"settings":5}', None, "bad listen"]
+)
+def test_a_bad_configuration_ends_with_one_line(tmp_path: Path, text: str | None) -> None:
+    async def scenario() -> None:
+        path = tmp_path / "config.json"
+        if text == "bad listen":
+            path.write_text(json.dumps(raw_config(1, 1, []) | {"listen": "nowhere"}))
+        elif text is not None:
+            path.write_text(text)
+        process = await start(path)
+        _, err = await process.communicate()
+        assert process.returncode == 2
+        assert err.startswith(b"quota-gateway: ")
+        assert err.count(b"\n") == 1
+
+    run_scenario(scenario())
+
+
+def test_sigterm_serves_on_finishes_what_is_held_and_exits_cleanly(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        release = asyncio.Event()
+
+        async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+            await release.wait()
+            return SERVED
+
+        server, counts, discovery = (
+            FakeRespServer(reply),
+            FakeRespServer(always_reply(b"+PONG\r\n")),
+            FakeDiscovery(),
+        )
+        for peer in (server, counts, discovery):
+            await peer.start()
+        rows = [server_row("s0", server.port)]
+        discovery.answers.append(endpoint_list_response(1, rows))
+        holder = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
+        listen = int(holder.sockets[0].getsockname()[1])
+        holder.close()
+        await holder.wait_closed()
+        path = tmp_path / "config.json"
+        path.write_text(json.dumps(raw_config(discovery.port, counts.port, rows, listen)))
+        process = await start(path)
+        held = await patient(listen)
+        idle = await ClientConnection.connect(listen)
+        assert await idle.ask(b"PING") == b"PONG"
+        held.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
+        await wait_until(lambda: len(server.calls()) == 1)
+        process.send_signal(signal.SIGTERM)
+        late = await ClientConnection.connect(listen)
+        late.send(b"CALL.POST", CUSTOMER, b"2", ORDER)
+        await wait_until(lambda: len(server.calls()) == 2)
+        assert await idle.ended()  # between requests: closed once new ones no longer come
+        release.set()
+        assert [await held.reply(), await late.reply()] == [b"value", b"value"]
+        assert await held.reply() is None
+        assert await process.wait() == 0
+        for peer in (server, counts, discovery):
+            await peer.stop()
+
+    run_scenario(scenario())
+
+
+def test_sighup_follows_the_addresses_of_the_file(tmp_path: Path) -> None:
+    """Also several in a row, and a file that can't be read leaves what was in force."""
+
+    async def scenario() -> None:
+        server = FakeRespServer(always_reply(SERVED))
+        await server.start()
+        rows = [server_row("s0", server.port)]
+
+        async def two(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+            return b"+PONG\r\n" if words[0] == b"PING" else b"$1\r\n2\r\n"
+
+        places = [
+            (FakeDiscovery(endpoint_list_response(version, rows)), FakeRespServer(two))
+            for version in (9, 5, 3)
+        ]
+        for discovery, counts in places:
+            await discovery.start()
+            await counts.start()
+        holder = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
+        listen = int(holder.sockets[0].getsockname()[1])
+        holder.close()
+        await holder.wait_closed()
+        path = tmp_path / "config.json"
+
+        def write(place: int) -> None:
+            discovery, counts = places[place]
+            path.write_text(json.dumps(raw_config(discovery.port, counts.port, rows, listen)))
+
+        write(0)
+        process = await start(path)
+        assert process.stderr is not None
+        client = await patient(listen)
+        assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
+        path.write_text("{")
+        process.send_signal(signal.SIGHUP)
+        while b"stays" not in await process.stderr.readline():
+            pass
+        assert await client.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
+        for place in (1, 2):
+            write(place)
+            process.send_signal(signal.SIGHUP)
+            while b"read again" not in await process.stderr.readline():
+                pass
+        discovery, counts = places[2]
+        await wait_until(lambda: len(discovery.targets) > 1 and len(counts.writers) == counter_module.LINKS)
+        assert discovery.targets[0] == "/v1/servers"
+        assert "since=3&" in discovery.targets[1]
+        ids = (b"%016x" % number for number in range(100, 10_000))
+        while not counts.calls():
+            assert await client.ask(b"CALL.GET", CUSTOMER, next(ids), GET) == b"value"
+            await asyncio.sleep(0.01)
+        process.send_signal(signal.SIGTERM)
+        assert await process.wait() == 0
+        for peer in (server, *(peer for place in places for peer in place)):
+            await peer.stop()
+
+    run_scenario(scenario())
+
+
+def test_calls_that_are_out_end_on_the_old_links_of_the_counter() -> None:
+    async def scenario() -> None:
+        release = asyncio.Event()
+
+        async def late(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
+            if words[0] == b"INCRTTL":
+                await release.wait()
+            return b"+PONG\r\n" if words[0] == b"PING" else b"$1\r\n7\r\n"
+
+        async def three(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+            return b"+PONG\r\n" if words[0] == b"PING" else b"$1\r\n3\r\n"
+
+        old, new = FakeRespServer(late), FakeRespServer(three)
+        await old.start()
+        await new.start()
+        made = Counter(asyncio.get_running_loop(), ("127.0.0.1", old.port), 30.0)
+        ends: list[tuple[int, float, CallOutcome]] = []
+
+        def call(name: int) -> None:
+            made.call(name, 1.0, 1.0, lambda total, ending, took: ends.append((name, total, ending)))
+
+        await wait_until(lambda: all(link.ready() for link in made.links))
+        call(2)
+        call(4)
+        await wait_until(lambda: len(old.calls()) == 2)
+        made.move(("127.0.0.1", new.port))
+        await wait_until(lambda: all(link.ready() for link in made.links))
+        call(4)  # its old call ends now: answers for one name keep their order
+        await wait_until(lambda: len(ends) == 2)
+        assert ends == [(4, 0.0, CallOutcome.TIMEOUT), (4, 3.0, CallOutcome.OK)]
+        release.set()
+        await wait_until(lambda: len(ends) == 3)
+        await wait_until(lambda: [what for what, *_ in old.log].count("closed") == counter_module.LINKS)
+        assert ends[2] == (2, 7.0, CallOutcome.OK)
+        assert len(new.calls()) == 1
+        made.close()
+        await old.stop()
+        await new.stop()
+
+    run_scenario(scenario())
+
+
+def test_what_discovery_said_at_an_old_address_is_dropped() -> None:
+    async def scenario() -> None:
+        old, new = FakeDiscovery(endpoint_list_response(9, [server_row("a", 80)])), FakeDiscovery()
+        await new.start()
+        script = ScriptedPolicy(lambda event: [])
+        async with running_gateway(decisions=script, discovery=old) as one:
+            await wait_until(lambda: len(old.targets) == 2)
+            one.program.discovery.move(("127.0.0.1", new.port))
+            old.answers.append(endpoint_list_response(10, [], full=True))
+            await wait_until(lambda: new.targets)
+            assert list(one.program.servers.pools) == ["a"]  # the list held stays until the new one comes
+            new.answers.append(endpoint_list_response(2, [server_row("b", 81)]))
+            await wait_until(lambda: list(one.program.servers.pools) == ["b"])
+            assert new.targets[0] == "/v1/servers"
+        await new.stop()
+
+    run_scenario(scenario())
--- a/tests/network/test_start.py
+++ b/tests/network/test_start.py
@@ -8,9 +8,16 @@
 
 import pytest
 
-from tests.network.loopback import DiscoveryPeer, RespPeer, always, listing, play, raw_config, row
-from tests.network.test_descriptors import free_port, limited
-from tests.network.test_peers import patient
+from tests.network.harness import (
+    FakeDiscovery,
+    FakeRespServer,
+    always_reply,
+    endpoint_list_response,
+    raw_config,
+    run_scenario,
+    server_row,
+)
+from tests.network.processes import free_port, limited, patient
 
 READY_S = 10.0  # nine in ten restarted processes are ready within this
 LEAST_SHARE = 0.1  # of a core; a start may thus take a second of processor time
@@ -26,8 +33,11 @@
 @pytest.mark.parametrize("discovery_up", [True, False])
 def test_a_start_is_ready_on_a_tenth_of_a_core(tmp_path: Path, servers: int, discovery_up: bool) -> None:
     async def scenario() -> None:
-        rows = [row(f"s{i}", 1 + i) for i in range(servers)]
-        counts, discovery = RespPeer(always(b"+PONG\r\n")), DiscoveryPeer(listing(2, rows))
+        rows = [server_row(f"s{i}", 1 + i) for i in range(servers)]
+        counts, discovery = (
+            FakeRespServer(always_reply(b"+PONG\r\n")),
+            FakeDiscovery(endpoint_list_response(2, rows)),
+        )
         await counts.start()
         listen, where = free_port(), free_port()
         if discovery_up:
@@ -41,7 +51,7 @@
         for peer in (counts, discovery):
             await peer.stop()
 
-    play(scenario())
+    run_scenario(scenario())
 
 
 def test_the_port_of_a_process_that_was_killed_is_taken_at_once(tmp_path: Path) -> None:
@@ -58,4 +68,4 @@
                 process.kill()
                 await process.wait()
 
-    play(scenario())
+    run_scenario(scenario())
