--- a/tests/lab/test_standins.py
+++ b/tests/lab/test_standins.py
@@ -15,7 +15,7 @@
 from quota_gateway.lab.fakes.faults import SPOILT
 from quota_gateway.lab.fakes.loopback_server import Slot
 from quota_gateway.network.discovery.watch import Discovery, News
-from tests.network.harness import CUSTOMER, GET, ClientConnection, run_scenario, wait_until
+from tests.network.harness import CUSTOMER, READ_FIELDS, RespClient, run_scenario, wait_until
 
 E = TypeVar("E", bound=st.Endpoint)
 INSTANT = st.ServerModel(service_ms=0.0)
@@ -36,12 +36,12 @@
     return st.ServerStandIn("s0", model, st.Ledger())
 
 
-def on(endpoint: E, scenario: Callable[[E, ClientConnection], Awaitable[None]]) -> None:
+def on(endpoint: E, scenario: Callable[[E, RespClient], Awaitable[None]]) -> None:
     """Runs a scenario with one connection to an endpoint."""
 
     async def whole() -> None:
         async with started(endpoint):
-            await scenario(endpoint, await ClientConnection.connect(endpoint.port))
+            await scenario(endpoint, await RespClient.connect(endpoint.port))
 
     run_scenario(whole())
 
@@ -50,8 +50,8 @@
 
 
 def test_a_server_makes_a_value_for_each_request_and_books_it() -> None:
-    async def scenario(one: st.ServerStandIn, client: ClientConnection) -> None:
-        value, used, report = await client.ask(b"CALL.GET", CUSTOMER, b"r1", GET)
+    async def scenario(one: st.ServerStandIn, client: RespClient) -> None:
+        value, used, report = await client.execute(b"CALL.GET", CUSTOMER, b"r1", READ_FIELDS)
         assert st.made_for(value) == b"r1"
         assert len(value) == one.model.value_bytes
         assert used is None
@@ -73,12 +73,12 @@
         ([b"HELLO", b"3"], "ERR unknown command"),
         ([b"CALL.GET", CUSTOMER, b"r1"], "SYNTAX"),
         ([b"CALL.GET", CUSTOMER, b"r1", b"c=read"], "SYNTAX"),
-        ([b"CALL.GET", CUSTOMER, b"r1", GET + b",units=nan"], "SYNTAX"),
+        ([b"CALL.GET", CUSTOMER, b"r1", READ_FIELDS + b",units=nan"], "SYNTAX"),
     ],
 )
 def test_a_server_answers_what_is_no_request(words: list[bytes], reply: str) -> None:
-    async def scenario(one: st.ServerStandIn, client: ClientConnection) -> None:
-        found = await client.ask(*words)
+    async def scenario(one: st.ServerStandIn, client: RespClient) -> None:
+        found = await client.execute(*words)
         assert str(found if isinstance(found, Exception) else found.decode()) == reply
         assert one.ledger.unreadable == (reply == "SYNTAX")
         assert not one.ledger.attempts
@@ -87,26 +87,26 @@
 
 
 def test_what_cannot_be_read_ends_a_connection() -> None:
-    async def scenario(one: st.ServerStandIn, client: ClientConnection) -> None:
+    async def scenario(one: st.ServerStandIn, client: RespClient) -> None:
         client.writer.write(b"?\r\n")
-        assert await client.ended()
+        assert await client.closed_by_gateway()
 
     on(server(INSTANT), scenario)
 
 
 def test_past_cores_and_line_a_server_turns_away_and_a_caller_that_left_does_not_run() -> None:
-    async def scenario(one: st.ServerStandIn, client: ClientConnection) -> None:
-        waiting, third = await ClientConnection.connect(one.port), await ClientConnection.connect(one.port)
-        client.send(b"CALL.GET", CUSTOMER, b"runs", GET)
+    async def scenario(one: st.ServerStandIn, client: RespClient) -> None:
+        waiting, third = await RespClient.connect(one.port), await RespClient.connect(one.port)
+        client.send(b"CALL.GET", CUSTOMER, b"runs", READ_FIELDS)
         await wait_until(lambda: one.ledger.of(b"runs"))
-        waiting.send(b"CALL.GET", CUSTOMER, b"waits", GET)
+        waiting.send(b"CALL.GET", CUSTOMER, b"waits", READ_FIELDS)
         await wait_until(lambda: one.held == 2)
-        assert str(await third.ask(b"CALL.GET", CUSTOMER, b"late", GET)) == "BUSY"
+        assert str(await third.execute(b"CALL.GET", CUSTOMER, b"late", READ_FIELDS)) == "BUSY"
         waiting.writer.close()
         await wait_until(lambda: len(one.connections) == 2)
         (busy,) = (cast("Any", each) for each in one.connections if not each.idle())
         one._finish(busy._slots[0], one.ledger.of(b"runs")[0], None)  # its minute is over
-        assert st.made_for((await client.reply())[0]) == b"runs"
+        assert st.made_for((await client.read_reply())[0]) == b"runs"
         found = [one.ledger.of(name)[0].outcome for name in (b"runs", b"waits", b"late")]
         assert found == [st.Outcome.SERVED, st.Outcome.ABANDONED, st.Outcome.BUSY]
         assert [one.ledger.runs(name) for name in (b"runs", b"waits", b"late")] == [1, 0, 0]
@@ -115,23 +115,23 @@
 
 
 def test_a_draining_server_completes_what_it_has_and_wants_nothing_new() -> None:
-    async def scenario(one: st.ServerStandIn, client: ClientConnection) -> None:
-        client.send(b"CALL.GET", CUSTOMER, b"old", GET)
+    async def scenario(one: st.ServerStandIn, client: RespClient) -> None:
+        client.send(b"CALL.GET", CUSTOMER, b"old", READ_FIELDS)
         await wait_until(lambda: one.held)
         one.draining = True
-        other = await ClientConnection.connect(one.port)
-        assert str(await other.ask(b"CALL.GET", CUSTOMER, b"new", GET)) == "BUSY"
-        assert st.made_for((await client.reply())[0]) == b"old"
+        other = await RespClient.connect(one.port)
+        assert str(await other.execute(b"CALL.GET", CUSTOMER, b"new", READ_FIELDS)) == "BUSY"
+        assert st.made_for((await client.read_reply())[0]) == b"old"
 
     on(server(st.ServerModel(service_ms=30.0, variation=0.0)), scenario)
 
 
 def test_answers_on_a_connection_come_in_the_order_of_its_requests() -> None:
-    async def scenario(one: st.ServerStandIn, client: ClientConnection) -> None:
+    async def scenario(one: st.ServerStandIn, client: RespClient) -> None:
         names = [b"r%d" % number for number in range(20)]
         for name in names:
-            client.send(b"CALL.GET", CUSTOMER, name, GET)
-        assert [st.made_for((await client.reply())[0]) for _ in names] == names
+            client.send(b"CALL.GET", CUSTOMER, name, READ_FIELDS)
+        assert [st.made_for((await client.read_reply())[0]) for _ in names] == names
         ends = [one.ledger.of(name)[0].ended or 0.0 for name in names]
         assert ends != sorted(ends)  # they were carried out beside each other
 
@@ -139,8 +139,8 @@
 
 
 def test_a_connection_without_calls_is_closed() -> None:
-    async def scenario(one: st.ServerStandIn, client: ClientConnection) -> None:
-        assert await client.ended()
+    async def scenario(one: st.ServerStandIn, client: RespClient) -> None:
+        assert await client.closed_by_gateway()
 
     on(server(st.ServerModel(idle_ms=20.0)), scenario)
 
@@ -160,13 +160,13 @@
 
 
 def test_the_counter_adds_and_forgets_names_when_their_life_has_ended() -> None:
-    async def scenario(one: st.CounterStandIn, client: ClientConnection) -> None:
-        assert await client.ask(b"INCRTTL", b"a", b"2.5", b"60000") == b"2.5"
-        assert await client.ask(b"INCRTTL", b"a", b"-1", b"1") == b"1.5"  # the first call set its life
-        assert await client.ask(b"INCRTTL", b"b", b"1e3", b"30") == b"1000"
+    async def scenario(one: st.CounterStandIn, client: RespClient) -> None:
+        assert await client.execute(b"INCRTTL", b"a", b"2.5", b"60000") == b"2.5"
+        assert await client.execute(b"INCRTTL", b"a", b"-1", b"1") == b"1.5"  # the first call set its life
+        assert await client.execute(b"INCRTTL", b"b", b"1e3", b"30") == b"1000"
         assert one.total(b"a") == 1.5
         await wait_until(lambda: one.total(b"b") is None)
-        assert await client.ask(b"INCRTTL", b"b", b"1", b"60000") == b"1"
+        assert await client.execute(b"INCRTTL", b"b", b"1", b"60000") == b"1"
 
     on(st.CounterStandIn(st.CounterModel()), scenario)
 
@@ -185,18 +185,18 @@
     ],
 )
 def test_the_counter_turns_down_what_is_no_call(words: list[bytes]) -> None:
-    async def scenario(one: st.CounterStandIn, client: ClientConnection) -> None:
-        assert str(await client.ask(*words)).startswith("ERR ")
+    async def scenario(one: st.CounterStandIn, client: RespClient) -> None:
+        assert str(await client.execute(*words)).startswith("ERR ")
         assert one.total(b"a") is None
 
     on(st.CounterStandIn(st.CounterModel()), scenario)
 
 
 def test_calls_past_the_capacity_of_a_part_are_turned_away_and_not_added() -> None:
-    async def scenario(one: st.CounterStandIn, client: ClientConnection) -> None:
+    async def scenario(one: st.CounterStandIn, client: RespClient) -> None:
         for _ in range(5):
             client.send(b"INCRTTL", b"a", b"1", b"60000")
-        replies = [await client.reply() for _ in range(5)]
+        replies = [await client.read_reply() for _ in range(5)]
         assert [str(each) for each in replies[2:]] == ["BUSY"] * 3
         assert replies[:2] == [b"1", b"2"]
         assert one.turned_away == 3
@@ -208,7 +208,7 @@
 # --- discovery -------------------------------------------------------------------------------------------
 
 
-async def get(client: ClientConnection, query: str = "", path: str = "/v1/servers") -> tuple[int, Any]:
+async def get(client: RespClient, query: str = "", path: str = "/v1/servers") -> tuple[int, Any]:
     """One call: the status, and what the body holds."""
     client.writer.write(f"GET {path}{query} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
     head = (await client.reader.readuntil(b"\r\n\r\n")).decode().lower()
@@ -218,7 +218,7 @@
 
 
 def test_a_watch_waits_for_news_and_gets_the_changes() -> None:
-    async def scenario(one: st.DiscoveryStandIn, client: ClientConnection) -> None:
+    async def scenario(one: st.DiscoveryStandIn, client: RespClient) -> None:
         one.put(st.ServerRow("s0", "127.0.0.1:1"))
         one.put(st.ServerRow("s1", "127.0.0.1:2"))
         status, whole = await get(client)
@@ -243,7 +243,7 @@
 
 
 def test_a_watch_without_news_ends_with_its_time_and_unknown_versions_get_the_whole_list() -> None:
-    async def scenario(one: st.DiscoveryStandIn, client: ClientConnection) -> None:
+    async def scenario(one: st.DiscoveryStandIn, client: RespClient) -> None:
         one.put(st.ServerRow("s0", "127.0.0.1:1"))
         began = time.monotonic()
         _, none = await get(client, f"?since={one.version}&timeout_ms=40")
@@ -317,20 +317,20 @@
     assert faults.strike() is None
 
 
-async def shown(client: ClientConnection, kind: st.FaultKind) -> None:
+async def shown(client: RespClient, kind: st.FaultKind) -> None:
     """Waits for what a fault shows to the caller of a RESP endpoint."""
     if kind is st.FaultKind.RESET:
         with pytest.raises(ConnectionResetError):
-            await client.reply()
+            await client.read_reply()
     elif kind is st.FaultKind.SILENCE:
         with pytest.raises(TimeoutError):
-            await asyncio.wait_for(client.reply(), SILENT_S)
+            await asyncio.wait_for(client.read_reply(), SILENT_S)
     elif kind is st.FaultKind.PARTIAL:
         assert (await client.reader.read()).startswith(b"*3\r\n$64\r\nr1 s0")
     elif kind is st.FaultKind.SPOILT:
         assert (await client.reader.read(65536)).startswith(SPOILT)
     else:
-        assert str(await client.reply()) == ("ERR failed" if kind is st.FaultKind.ERROR else "BUSY")
+        assert str(await client.read_reply()) == ("ERR failed" if kind is st.FaultKind.ERROR else "BUSY")
 
 
 @pytest.mark.parametrize(
@@ -345,9 +345,9 @@
     ],
 )
 def test_what_a_faulty_server_shows_and_whether_it_has_run(kind: str, outcome: str, runs: int) -> None:
-    async def scenario(one: st.ServerStandIn, client: ClientConnection) -> None:
+    async def scenario(one: st.ServerStandIn, client: RespClient) -> None:
         one.faults.inject(st.Fault(st.FaultKind(kind)))
-        client.send(b"CALL.GET", CUSTOMER, b"r1", GET)
+        client.send(b"CALL.GET", CUSTOMER, b"r1", READ_FIELDS)
         await shown(client, st.FaultKind(kind))
         assert one.ledger.outcomes() == {outcome: 1}
         assert one.ledger.runs(b"r1") == runs
@@ -357,7 +357,7 @@
 
 @pytest.mark.parametrize("kind", ["reset", "silence", "spoilt", "unavailable"])
 def test_a_faulty_counter_has_added_unless_it_turned_the_call_away(kind: str) -> None:
-    async def scenario(one: st.CounterStandIn, client: ClientConnection) -> None:
+    async def scenario(one: st.CounterStandIn, client: RespClient) -> None:
         one.faults.inject(st.Fault(st.FaultKind(kind)))
         client.send(b"INCRTTL", b"a", b"1", b"60000")
         await shown(client, st.FaultKind(kind))
@@ -367,7 +367,7 @@
 
 
 def test_faulty_discovery_resets_stays_silent_or_turns_away() -> None:
-    async def scenario(one: st.DiscoveryStandIn, client: ClientConnection) -> None:
+    async def scenario(one: st.DiscoveryStandIn, client: RespClient) -> None:
         one.faults.inject(st.Fault(st.FaultKind.UNAVAILABLE))
         assert await get(client) == (503, None)
         one.faults.clear()
@@ -378,7 +378,7 @@
         one.faults.clear()
         one.faults.inject(st.Fault(st.FaultKind.RESET))
         with pytest.raises(ConnectionResetError):
-            await get(await ClientConnection.connect(one.port))
+            await get(await RespClient.connect(one.port))
 
     on(st.DiscoveryStandIn(), scenario)
 
@@ -399,26 +399,26 @@
         ):
             for endpoint in (one, counter, discovery):
                 endpoint.faults.inject(late)
-            client = await ClientConnection.connect(one.port)
-            assert await took(client.ask(b"CALL.GET", CUSTOMER, b"r1", GET)) >= 0.055
+            client = await RespClient.connect(one.port)
+            assert await took(client.execute(b"CALL.GET", CUSTOMER, b"r1", READ_FIELDS)) >= 0.055
             assert one.ledger.of(b"r1")[0].spent_s() >= 0.055
-            client = await ClientConnection.connect(counter.port)
-            assert await took(client.ask(b"INCRTTL", b"a", b"1", b"9")) >= 0.055
-            assert await took(get(await ClientConnection.connect(discovery.port))) >= 0.055
+            client = await RespClient.connect(counter.port)
+            assert await took(client.execute(b"INCRTTL", b"a", b"1", b"9")) >= 0.055
+            assert await took(get(await RespClient.connect(discovery.port))) >= 0.055
 
     run_scenario(scenario())
 
 
 def test_an_endpoint_that_stopped_refuses_and_comes_back_at_its_address() -> None:
-    async def scenario(one: st.ServerStandIn, client: ClientConnection) -> None:
+    async def scenario(one: st.ServerStandIn, client: RespClient) -> None:
         port = one.port
         await one.stop()
         with pytest.raises(ConnectionResetError):
-            await client.reply()
+            await client.read_reply()
         with pytest.raises(ConnectionRefusedError):
-            await ClientConnection.connect(port)
+            await RespClient.connect(port)
         await one.start()
-        again = await ClientConnection.connect(port)
-        assert await again.ask(b"PING") == b"PONG"
+        again = await RespClient.connect(port)
+        assert await again.execute(b"PING") == b"PONG"
 
     on(server(INSTANT), scenario)
--- a/tests/network/harness.py
+++ b/tests/network/harness.py
@@ -7,7 +7,7 @@
 
 import asyncio
 import json
-from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine, Iterator
+from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine
 from contextlib import asynccontextmanager
 from dataclasses import replace
 from typing import Any, TypeVar
@@ -23,9 +23,9 @@
 E = TypeVar("E", bound=Event)
 
 CUSTOMER = b"00000000b4d65521"
-GET = b"c=read,t=basic,d=20000,units=2,spread=2,first=1"
-ORDER = b"c=order,t=basic,d=20000,k=5c0f6e1a2b3d4c59"
-CHARGE = b"c=charge,t=basic,d=20000"
+READ_FIELDS = b"c=read,t=basic,d=20000,units=2,spread=2,first=1"
+ORDER_FIELDS = b"c=order,t=basic,d=20000,k=5c0f6e1a2b3d4c59"
+CHARGE_FIELDS = b"c=charge,t=basic,d=20000"
 SETTINGS: dict[str, Any] = {
     "my_zone": "a",
     "balancers": 2,
@@ -54,7 +54,7 @@
     ],
     "safety": {"cold_from": 0.25, "warm_after_ms": 18000.0, "drain_grace_ms": 250.0},
 }
-SERVED = b"*3\r\n$5\r\nvalue\r\n*-1\r\n$20\r\ninflight=7,queue=2.5\r\n"
+OK_RESPONSE = b"*3\r\n$5\r\nvalue\r\n*-1\r\n$20\r\ninflight=7,queue=2.5\r\n"
 
 
 def run_scenario(scenario: Coroutine[Any, Any, None]) -> None:
@@ -99,7 +99,7 @@
             writer.close()
 
 
-async def commands(reader: asyncio.StreamReader) -> AsyncIterator[list[bytes]]:
+async def read_commands(reader: asyncio.StreamReader) -> AsyncIterator[list[bytes]]:
     """The commands that come on a connection."""
     parser = hiredis.Reader()
     while data := await reader.read(65536):
@@ -122,7 +122,7 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         number = len(self.writers)
         try:
-            async for words in commands(reader):
+            async for words in read_commands(reader):
                 self.log.append(("command", number, words))
                 reply = await self.reply(words, writer)
                 if reply is not None:
@@ -130,7 +130,7 @@
         finally:
             self.log.append(("closed", number, []))
 
-    def calls(self) -> list[list[bytes]]:
+    def received_commands(self) -> list[list[bytes]]:
         """The commands that came, pings left out."""
         return [words for what, _, words in self.log if what == "command" and words != [b"PING"]]
 
@@ -183,7 +183,7 @@
     }
 
 
-class ClientConnection:
+class RespClient:
     """A client connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -191,13 +191,13 @@
         self.parser = hiredis.Reader()
 
     @classmethod
-    async def connect(cls, port: int) -> ClientConnection:
+    async def connect(cls, port: int) -> RespClient:
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
     def send(self, *words: bytes) -> None:
         self.writer.write(hiredis.pack_command(words))  # type: ignore[arg-type]
 
-    async def reply(self) -> Any:
+    async def read_reply(self) -> Any:
         """The next reply; None at the end of the connection."""
         while (found := self.parser.gets()) is False:
             data = await self.reader.read(65536)
@@ -206,11 +206,11 @@
             self.parser.feed(data)
         return found
 
-    async def ask(self, *words: bytes) -> Any:
+    async def execute(self, *words: bytes) -> Any:
         self.send(*words)
-        return await self.reply()
+        return await self.read_reply()
 
-    async def ended(self) -> bool:
+    async def closed_by_gateway(self) -> bool:
         """Whether the gateway closed the connection, with nothing more on it."""
         try:
             return not await self.reader.read(1)
@@ -234,7 +234,7 @@
         self.inside = False
         return actions
 
-    def of(self, kind: type[E]) -> list[E]:
+    def events_of(self, kind: type[E]) -> list[E]:
         return [event for event in self.events if isinstance(event, kind)]
 
 
@@ -263,8 +263,8 @@
         assert server is not None
         return int(server.sockets[0].getsockname()[1])
 
-    async def client(self) -> ClientConnection:
-        return await ClientConnection.connect(self.port)
+    async def connect_client(self) -> RespClient:
+        return await RespClient.connect(self.port)
 
 
 def raw_config(discovery: int, counter: int, rows: list[dict[str, Any]], listen: int = 1) -> dict[str, Any]:
@@ -281,7 +281,7 @@
     }
 
 
-def config(discovery: int, counter: int, rows: list[dict[str, Any]], **changes: Any) -> Config:
+def gateway_config(discovery: int, counter: int, rows: list[dict[str, Any]], **changes: Any) -> Config:
     """The same, read; the gateway listens on a free port."""
     made = build(raw_config(discovery, counter, rows), {})
     return replace(made, listen=("127.0.0.1", 0), **changes)
@@ -290,7 +290,7 @@
 @asynccontextmanager
 async def running_gateway(
     *replies: Reply,
-    decisions: Decisions | None = None,
+    policy: Decisions | None = None,
     counter: Reply | None = None,
     discovery: FakeDiscovery | None = None,
     **changes: Any,
@@ -312,8 +312,8 @@
     rows = [server_row(f"s{i}", peer.port) for i, peer in enumerate(servers)]
     discovery = discovery or FakeDiscovery(endpoint_list_response(1, rows))
     await discovery.start()
-    made = config(discovery.port, counts.port, rows, **changes)
-    program = Program(made, asyncio.get_running_loop(), decisions)
+    made = gateway_config(discovery.port, counts.port, rows, **changes)
+    program = Program(made, asyncio.get_running_loop(), policy)
     await program.start()
     if program.counter is not None:
         await wait_until(
@@ -326,11 +326,3 @@
         peers: list[FakeServer] = [*servers, counts, discovery]
         for each in peers:
             await each.stop()
-
-
-def numbered() -> Iterator[bytes]:
-    """Fresh request ids."""
-    serial = 0
-    while True:
-        serial += 1
-        yield b"%016x" % serial
--- a/tests/network/processes.py
+++ b/tests/network/processes.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from tests.network.harness import (
-    ClientConnection,
+    RespClient,
 )
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -37,11 +37,11 @@
     )
 
 
-async def patient(port: int) -> ClientConnection:
+async def patient(port: int) -> RespClient:
     """A connection to a program that is starting."""
     while True:
         try:
-            return await ClientConnection.connect(port)
+            return await RespClient.connect(port)
         except ConnectionRefusedError:
             await asyncio.sleep(0.01)
 
--- a/tests/network/test_client_connection.py
+++ b/tests/network/test_client_connection.py
@@ -10,10 +10,10 @@
 from quota_gateway.network.client_connection import MOST_PENDING
 from quota_gateway.policy_api.events import Request
 from tests.network.harness import (
-    CHARGE,
+    CHARGE_FIELDS,
     CUSTOMER,
-    GET,
-    SERVED,
+    OK_RESPONSE,
+    READ_FIELDS,
     ScriptedPolicy,
     always_reply,
     forward_to,
@@ -28,21 +28,24 @@
     ([b"HELLO", b"3"], "unknown command 'HELLO'"),
     ([b"PING", b"a", b"b"], "wrong number of arguments"),
     ([b"CALL.GET"], "wrong number of arguments"),
-    ([b"CALL.GET", CUSTOMER, ID, GET, b"body", b"more"], "wrong number of arguments"),
+    ([b"CALL.GET", CUSTOMER, ID, READ_FIELDS, b"body", b"more"], "wrong number of arguments"),
     *[
-        ([b"CALL.GET", bad, ID, GET], "bad customer")
+        ([b"CALL.GET", bad, ID, READ_FIELDS], "bad customer")
         for bad in (b"xyz", b"-1", b"0x1f", b"", b"1f", b"00000000b4d6552g", b"0000000200000000", b"+" * 16)
     ],
-    *[([b"CALL.GET", CUSTOMER, bad, GET], "bad request id") for bad in (b"", b"a b", b"\n", b"x" * 65)],
+    *[
+        ([b"CALL.GET", CUSTOMER, bad, READ_FIELDS], "bad request id")
+        for bad in (b"", b"a b", b"\n", b"x" * 65)
+    ],
     ([b"CALL.GET", CUSTOMER, ID, b"c=read,t=basic"], "no time left"),
     ([b"CALL.GET", CUSTOMER, ID, b"c=read,,t=basic,d=9"], "bad fields"),
     ([b"CALL.GET", CUSTOMER, ID, b"c=read,c=read,t=basic,d=9"], "bad fields"),
-    ([b"CALL.GET", CUSTOMER, ID, GET + b",x=" + b"1" * 600], "bad fields"),
+    ([b"CALL.GET", CUSTOMER, ID, READ_FIELDS + b",x=" + b"1" * 600], "bad fields"),
     ([b"CALL.GET", CUSTOMER, ID, b"c=other,t=basic,d=9"], "unknown class"),
     ([b"CALL.GET", CUSTOMER, ID, b"c=read,t=other,d=9"], "unknown plan"),
     ([b"CALL.GET", CUSTOMER, ID, b"t=basic,d=9"], "unknown class"),
-    ([b"CALL.POST", CUSTOMER, ID, GET, b""], "other command"),
-    ([b"CALL.GET", CUSTOMER, ID, CHARGE], "other command"),
+    ([b"CALL.POST", CUSTOMER, ID, READ_FIELDS, b""], "other command"),
+    ([b"CALL.GET", CUSTOMER, ID, CHARGE_FIELDS], "other command"),
     ([b"CALL.POST", CUSTOMER, ID, b"c=order,t=basic,d=9", b""], "no idempotency key"),
     ([b"CALL.POST", CUSTOMER, ID, b"c=order,t=basic,d=9,k=", b""], "no idempotency key"),
     *[
@@ -67,14 +70,14 @@
 def test_bad_commands_are_told_and_reach_neither_quota_nor_server(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         script = ScriptedPolicy(forward_to("s0"))
-        async with running_gateway(always_reply(SERVED), decisions=script) as one:
-            client = await one.client()
+        async with running_gateway(always_reply(OK_RESPONSE), policy=script) as one:
+            client = await one.connect_client()
             for words, text in BAD:
-                assert text in str(await client.ask(*words)), words
-            assert script.of(Request) == []
-            assert await client.ask(b"CLIENT", b"SETNAME", b"x") == b"OK"
-            assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
-            assert len(one.servers[0].calls()) == 1
+                assert text in str(await client.execute(*words)), words
+            assert script.events_of(Request) == []
+            assert await client.execute(b"CLIENT", b"SETNAME", b"x") == b"OK"
+            assert await client.execute(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS) == b"value"
+            assert len(one.servers[0].received_commands()) == 1
 
     monkeypatch.setattr(clients_module, "MOST_ERRORS", 1000)
     run_scenario(scenario())
@@ -82,24 +85,24 @@
 
 def test_a_client_with_many_errors_is_told_each_and_closed() -> None:
     async def scenario() -> None:
-        async with running_gateway(always_reply(SERVED), decisions=ScriptedPolicy(forward_to("s0"))) as one:
-            client, other = await one.client(), await one.client()
-            client.send(b"CALL.GET", CUSTOMER, b"1", GET)
+        async with running_gateway(always_reply(OK_RESPONSE), policy=ScriptedPolicy(forward_to("s0"))) as one:
+            client, other = await one.connect_client(), await one.connect_client()
+            client.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
             for _ in range(500):
                 client.send(b"NOPE")
-            assert await client.reply() == b"value"
+            assert await client.read_reply() == b"value"
             for _ in range(clients_module.MOST_ERRORS):
-                assert "unknown command" in str(await client.reply())
-            assert await client.reply() is None  # and no reset, which could have cost the errors
-            assert await other.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
+                assert "unknown command" in str(await client.read_reply())
+            assert await client.read_reply() is None  # and no reset, which could have cost the errors
+            assert await other.execute(b"CALL.GET", CUSTOMER, b"2", READ_FIELDS) == b"value"
 
     run_scenario(scenario())
 
 
 def test_one_turn_of_the_loop_takes_a_bounded_number_of_commands() -> None:
     async def scenario() -> None:
-        async with running_gateway(always_reply(SERVED)) as one:
-            client = await one.client()
+        async with running_gateway(always_reply(OK_RESPONSE)) as one:
+            client = await one.connect_client()
             await wait_until(lambda: one.program.listener.clients)
             (held,) = one.program.listener.clients
             taken: list[int] = []
@@ -107,7 +110,7 @@
             held.work()
             taken.append(len(held.parser._raw) - held.parser._at)
             assert taken == [14 * (50 - clients_module.TURN)]
-            assert [await client.reply() for _ in range(50)] == [b"PONG"] * 50
+            assert [await client.read_reply() for _ in range(50)] == [b"PONG"] * 50
 
     run_scenario(scenario())
 
@@ -118,19 +121,19 @@
 
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
             await release.wait()
-            return SERVED
+            return OK_RESPONSE
 
-        async with running_gateway(reply, decisions=ScriptedPolicy(forward_to("s0"))) as one:
-            usual, bad = await one.client(), await one.client()
-            usual.send(b"CALL.GET", CUSTOMER, ID, GET)
-            await wait_until(lambda: len(one.servers[0].calls()) == 1)
-            assert "in use" in str(await bad.ask(b"CALL.GET", CUSTOMER, ID, GET))
+        async with running_gateway(reply, policy=ScriptedPolicy(forward_to("s0"))) as one:
+            usual, bad = await one.connect_client(), await one.connect_client()
+            usual.send(b"CALL.GET", CUSTOMER, ID, READ_FIELDS)
+            await wait_until(lambda: len(one.servers[0].received_commands()) == 1)
+            assert "in use" in str(await bad.execute(b"CALL.GET", CUSTOMER, ID, READ_FIELDS))
             release.set()
-            assert await usual.reply() == b"value"
-            assert await bad.ask(b"CALL.GET", CUSTOMER, ID, GET) == b"value"
+            assert await usual.read_reply() == b"value"
+            assert await bad.execute(b"CALL.GET", CUSTOMER, ID, READ_FIELDS) == b"value"
             assert not one.program.listener.open_ids
             release.clear()
-            usual.send(b"CALL.GET", CUSTOMER, ID, GET)
+            usual.send(b"CALL.GET", CUSTOMER, ID, READ_FIELDS)
             await wait_until(lambda: one.program.listener.open_ids)
             usual.writer.close()
             await wait_until(lambda: not one.program.listener.open_ids)  # the client left
@@ -142,26 +145,26 @@
 def test_a_long_deadline_is_served_as_the_longest_of_the_settings() -> None:
     async def scenario() -> None:
         script = ScriptedPolicy(forward_to("s0"))
-        async with running_gateway(always_reply(SERVED), decisions=script) as one:
-            client = await one.client()
+        async with running_gateway(always_reply(OK_RESPONSE), policy=script) as one:
+            client = await one.connect_client()
             fields = b"c=read,t=basic,d=999999999"
-            assert await client.ask(b"CALL.GET", CUSTOMER, b"1", fields) == b"value"
-            assert [event.time_left_ms for event in script.of(Request)] == [20_000.0]
+            assert await client.execute(b"CALL.GET", CUSTOMER, b"1", fields) == b"value"
+            assert [event.time_left_ms for event in script.events_of(Request)] == [20_000.0]
 
     run_scenario(scenario())
 
 
 def test_who_says_nothing_or_half_a_command_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with running_gateway(always_reply(None), decisions=ScriptedPolicy(forward_to("s0"))) as one:
-            silent, half, idle, busy = [await one.client() for _ in range(4)]
+        async with running_gateway(always_reply(None), policy=ScriptedPolicy(forward_to("s0"))) as one:
+            silent, half, idle, busy = [await one.connect_client() for _ in range(4)]
             half.writer.write(b"*2\r\n$4\r\nPI")
-            assert await idle.ask(b"PING") == b"PONG"
-            busy.send(b"CALL.GET", CUSTOMER, b"1", GET)
-            assert await silent.ended()
-            assert "did not come" in str(await half.reply())
-            assert await half.reply() is None
-            assert await idle.ended()
+            assert await idle.execute(b"PING") == b"PONG"
+            busy.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
+            assert await silent.closed_by_gateway()
+            assert "did not come" in str(await half.read_reply())
+            assert await half.read_reply() is None
+            assert await idle.closed_by_gateway()
             assert len(one.program.gateway.live) == 1  # whose client is still there
 
     for name in ("SILENT_S", "PARTIAL_S", "IDLE_S", "CROWDED_IDLE_S"):
@@ -171,16 +174,16 @@
 
 def test_past_the_limit_those_that_never_spoke_make_room_first() -> None:
     async def scenario() -> None:
-        async with running_gateway(always_reply(None), decisions=ScriptedPolicy(forward_to("s0"))) as one:
+        async with running_gateway(always_reply(None), policy=ScriptedPolicy(forward_to("s0"))) as one:
             one.program.listener.most = 2
-            spoke = await one.client()
-            assert await spoke.ask(b"PING") == b"PONG"
-            silent = await one.client()
+            spoke = await one.connect_client()
+            assert await spoke.execute(b"PING") == b"PONG"
+            silent = await one.connect_client()
             await wait_until(lambda: len(one.program.listener.clients) == 2)
-            third = await one.client()
-            assert await third.ask(b"PING") == b"PONG"
-            assert await silent.ended()
-            assert await spoke.ask(b"PING") == b"PONG"
+            third = await one.connect_client()
+            assert await third.execute(b"PING") == b"PONG"
+            assert await silent.closed_by_gateway()
+            assert await spoke.execute(b"PING") == b"PONG"
 
     run_scenario(scenario())
 
@@ -209,17 +212,17 @@
 @pytest.mark.parametrize("data", BROKEN)
 def test_what_is_not_resp_is_told_and_closes(data: bytes) -> None:
     async def scenario() -> None:
-        async with running_gateway(always_reply(SERVED)) as one:
-            client = await one.client()
+        async with running_gateway(always_reply(OK_RESPONSE)) as one:
+            client = await one.connect_client()
             client.writer.write(data)
             try:
-                assert "Protocol error" in str(await client.reply())
-                assert await client.reply() is None
+                assert "Protocol error" in str(await client.read_reply())
+                assert await client.read_reply() is None
             except ConnectionResetError:
                 pass  # bytes were left unread: the end of the connection is told as a reset
             await wait_until(lambda: not one.program.listener.clients)
-            other = await one.client()
-            assert await other.ask(b"PING") == b"PONG"
+            other = await one.connect_client()
+            assert await other.execute(b"PING") == b"PONG"
 
     run_scenario(scenario())
 
@@ -232,25 +235,25 @@
 
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
             await release.wait()
-            return SERVED
+            return OK_RESPONSE
 
         script = ScriptedPolicy(forward_to("s0"))
-        async with running_gateway(reply, decisions=script) as one:
-            client = await one.client()
+        async with running_gateway(reply, policy=script) as one:
+            client = await one.connect_client()
             for number in range(3 * MOST_PENDING):
-                client.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
-            await wait_until(lambda: len(script.of(Request)) >= MOST_PENDING)
+                client.send(b"CALL.GET", CUSTOMER, b"%d" % number, READ_FIELDS)
+            await wait_until(lambda: len(script.events_of(Request)) >= MOST_PENDING)
             assert len(one.program.gateway.live) == MOST_PENDING
             release.set()
-            assert {await client.reply() for _ in range(3 * MOST_PENDING)} == {b"value"}
+            assert {await client.read_reply() for _ in range(3 * MOST_PENDING)} == {b"value"}
 
     run_scenario(scenario())
 
 
 def test_a_client_that_does_not_read_is_not_read_from() -> None:
     async def scenario() -> None:
-        async with running_gateway(always_reply(SERVED)) as one:
-            client = await one.client()
+        async with running_gateway(always_reply(OK_RESPONSE)) as one:
+            client = await one.connect_client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             await wait_until(lambda: one.program.listener.clients)
             (held,) = one.program.listener.clients
@@ -264,7 +267,7 @@
             assert held.transport.get_write_buffer_size() < 8_000_000
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             while held.full:  # all of it, or the client itself would stop reading at its own bound
-                assert await client.reply() == word
+                assert await client.read_reply() == word
 
     run_scenario(scenario())
 
@@ -273,17 +276,17 @@
     async def scenario() -> None:
         async with running_gateway(always_reply(None), sockets=64) as one:
             one.program.listener.most = 2
-            busy, idle = await one.client(), await one.client()
-            assert await idle.ask(b"PING") == b"PONG"
-            busy.send(b"CALL.GET", CUSTOMER, b"1", GET)
+            busy, idle = await one.connect_client(), await one.connect_client()
+            assert await idle.execute(b"PING") == b"PONG"
+            busy.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
             await wait_until(lambda: one.program.gateway.live)
-            third = await one.client()
-            assert await third.ask(b"PING") == b"PONG"
-            assert await idle.ended()
-            third.send(b"CALL.GET", CUSTOMER, b"2", GET)
+            third = await one.connect_client()
+            assert await third.execute(b"PING") == b"PONG"
+            assert await idle.closed_by_gateway()
+            third.send(b"CALL.GET", CUSTOMER, b"2", READ_FIELDS)
             await wait_until(lambda: len(one.program.gateway.live) == 2)
-            fourth = await one.client()
-            assert "too many connections" in str(await fourth.reply())
+            fourth = await one.connect_client()
+            assert "too many connections" in str(await fourth.read_reply())
 
     run_scenario(scenario())
 
@@ -292,11 +295,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        async with running_gateway(always_reply(SERVED), decisions=ScriptedPolicy(forward_to("s0"))) as one:
-            client = await one.client()
+        async with running_gateway(always_reply(OK_RESPONSE), policy=ScriptedPolicy(forward_to("s0"))) as one:
+            client = await one.connect_client()
             with monkeypatch.context() as patch:
                 patch.setattr(one.program.gateway, "take", None)
-                assert str(await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)) == "ERR failed"
-            assert await client.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
+                assert str(await client.execute(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)) == "ERR failed"
+            assert await client.execute(b"CALL.GET", CUSTOMER, b"2", READ_FIELDS) == b"value"
 
     run_scenario(scenario())
--- a/tests/network/test_counter_client.py
+++ b/tests/network/test_counter_client.py
@@ -52,7 +52,7 @@
             (4, 4.0, CallOutcome.OK),
             (6, 0.0, CallOutcome.REJECTED),
         ]
-        assert peer.calls()[0] == [b"INCRTTL", b"2", b"1.500", b"4000"]
+        assert peer.received_commands()[0] == [b"INCRTTL", b"2", b"1.500", b"4000"]
         made.close()
         await peer.stop()
 
@@ -83,7 +83,7 @@
             count = len(ends)
             await wait_until(lambda: len(ends) > count)  # noqa: B023
         assert ends == [(0.0, CallOutcome.TIMEOUT), (3.0, CallOutcome.OK)]
-        assert len(peer.calls()) == 2  # the first was not repeated
+        assert len(peer.received_commands()) == 2  # the first was not repeated
         made.close()
         await peer.stop()
 
--- a/tests/network/test_descriptors.py
+++ b/tests/network/test_descriptors.py
@@ -13,11 +13,11 @@
 from quota_gateway.network.counter_client import LINKS
 from tests.network.harness import (
     CUSTOMER,
-    GET,
-    SERVED,
-    ClientConnection,
+    OK_RESPONSE,
+    READ_FIELDS,
     FakeDiscovery,
     FakeRespServer,
+    RespClient,
     always_reply,
     endpoint_list_response,
     raw_config,
@@ -67,7 +67,7 @@
 
         async def held(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
             await release.wait()
-            return SERVED
+            return OK_RESPONSE
 
         counts, server = FakeRespServer(always_reply(b"$1\r\n1\r\n")), FakeRespServer(held)
         await server.start()
@@ -76,23 +76,23 @@
         raw = raw_config(discovery_port, counter_port, [server_row("old", free_port())], listen)
         path.write_text(json.dumps(raw | {"limits": {"sockets": sockets}}))
         async with limited(path, sockets) as process:
-            await (await patient(listen)).ask(b"PING")
+            await (await patient(listen)).execute(b"PING")
             crowd = Crowd(listen)
             crowd.come(2 * sockets)
             await wait_until(lambda: crowd.accepted > sockets and crowd.closed > sockets // 2)
             discovery = FakeDiscovery(endpoint_list_response(2, [server_row("new", server.port)]))
             await discovery.start(discovery_port)
             await wait_until(lambda: len(discovery.targets) == 2)  # the list was read, and a watch is open
-            good = await ClientConnection.connect(listen)
+            good = await RespClient.connect(listen)
             most = min(budget(sockets).servers, 24)  # more at once the module holds for a surge
             for number in range(most):
-                good.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
-            await wait_until(lambda: len(server.calls()) == most)
+                good.send(b"CALL.GET", CUSTOMER, b"%d" % number, READ_FIELDS)
+            await wait_until(lambda: len(server.received_commands()) == most)
             await counts.start(counter_port)
             await wait_until(lambda: len(counts.writers) >= LINKS)
             assert len(os.listdir(f"/proc/{process.pid}/fd")) <= sockets
             release.set()
-            assert [await good.reply() for _ in range(most)] == [b"value"] * most
+            assert [await good.read_reply() for _ in range(most)] == [b"value"] * most
             crowd.leave()
             process.terminate()
             _, err = await process.communicate()
--- a/tests/network/test_discovery.py
+++ b/tests/network/test_discovery.py
@@ -289,7 +289,7 @@
         rows = [server_row("s0", 80), server_row("s9", 81)]
         discovery = FakeDiscovery(endpoint_list_response(4, rows))
         script = ScriptedPolicy(lambda event: [])
-        async with running_gateway(decisions=script, discovery=discovery) as one:
+        async with running_gateway(policy=script, discovery=discovery) as one:
             await wait_until(lambda: len(discovery.targets) == 2 and "s9" in one.program.servers.pools)
             drained = [rows[0], server_row("s9", 81, "Terminating")]
             discovery.answers += [ending, endpoint_list_response(5, drained)]
@@ -323,12 +323,12 @@
             endpoint_list_response(4, rows), http_response(b"", "503 Service Unavailable")
         )
         script = ScriptedPolicy(lambda event: [])
-        async with running_gateway(decisions=script, discovery=discovery):
+        async with running_gateway(policy=script, discovery=discovery):
             await wait_until(lambda: len(discovery.targets) == 3)
             discovery.writers[-1].transport.abort()
             await wait_until(lambda: len(discovery.targets) == 4)
             discovery.answers += [b"", endpoint_list_response(5, [server_row("c", 82)], full=False)]
-            await wait_until(lambda: len(script.of(EndpointUpdate)) == 3)
+            await wait_until(lambda: len(script.events_of(EndpointUpdate)) == 3)
         since = [target.partition("since=")[2].partition("&")[0] for target in discovery.targets]
         assert since[:4] == ["1", "4", "4", "4"]
 
--- a/tests/network/test_discovery_client.py
+++ b/tests/network/test_discovery_client.py
@@ -11,8 +11,8 @@
 from quota_gateway.policy_api.endpoints import EndpointUpdate, UpdateKind
 from tests.network.harness import (
     CUSTOMER,
-    GET,
-    SERVED,
+    OK_RESPONSE,
+    READ_FIELDS,
     FakeDiscovery,
     ScriptedPolicy,
     always_reply,
@@ -41,9 +41,9 @@
             endpoint_list_response(4, [server_row("c", 82, started_ms=5.0)], full=False),
         )
         script = ScriptedPolicy(lambda event: [])
-        async with running_gateway(decisions=script, discovery=discovery):
+        async with running_gateway(policy=script, discovery=discovery):
             await wait_until(lambda: len(discovery.targets) == 11)
-            told = [(e.kind, [x.server_id for x in e.endpoints]) for e in script.of(EndpointUpdate)]
+            told = [(e.kind, [x.server_id for x in e.endpoints]) for e in script.events_of(EndpointUpdate)]
             assert told == [
                 (UpdateKind.CACHED_SNAPSHOT, []),
                 (UpdateKind.SNAPSHOT, ["a", "b"]),
@@ -60,7 +60,7 @@
 def test_a_silent_agent_is_asked_on_a_new_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         discovery = FakeDiscovery()
-        async with running_gateway(decisions=ScriptedPolicy(lambda event: []), discovery=discovery):
+        async with running_gateway(policy=ScriptedPolicy(lambda event: []), discovery=discovery):
             await wait_until(lambda: len(discovery.writers) >= 3)
 
     monkeypatch.setattr(discovery_module, "QUIET_S", 0.05)
@@ -71,9 +71,9 @@
     async def scenario() -> None:
         discovery = FakeDiscovery(endpoint_list_response(1, []))
         discovery.answers.clear()
-        async with running_gateway(always_reply(SERVED), discovery=discovery) as one:
-            client = await one.client()
-            assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
+        async with running_gateway(always_reply(OK_RESPONSE), discovery=discovery) as one:
+            client = await one.connect_client()
+            assert await client.execute(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS) == b"value"
 
     run_scenario(scenario())
 
--- a/tests/network/test_ending.py
+++ b/tests/network/test_ending.py
@@ -14,8 +14,8 @@
 from quota_gateway.network.client_connection import MOST_PENDING
 from tests.network.harness import (
     CUSTOMER,
-    GET,
-    SERVED,
+    OK_RESPONSE,
+    READ_FIELDS,
     Reply,
     ScriptedPolicy,
     always_reply,
@@ -25,7 +25,11 @@
     wait_until,
 )
 
-QUESTION = b"*4\r\n$8\r\nCALL.GET\r\n$16\r\n%b\r\n$1\r\n9\r\n$%d\r\n%b\r\n" % (CUSTOMER, len(GET), GET)
+QUESTION = b"*4\r\n$8\r\nCALL.GET\r\n$16\r\n%b\r\n$1\r\n9\r\n$%d\r\n%b\r\n" % (
+    CUSTOMER,
+    len(READ_FIELDS),
+    READ_FIELDS,
+)
 
 
 def held(release: asyncio.Event) -> Reply:
@@ -33,7 +37,7 @@
 
     async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
         await release.wait()
-        return SERVED
+        return OK_RESPONSE
 
     return reply
 
@@ -41,21 +45,27 @@
 def test_what_comes_on_a_busy_connection_after_sigterm_is_served() -> None:
     async def scenario() -> None:
         release = asyncio.Event()
-        async with running_gateway(held(release), decisions=ScriptedPolicy(forward_to("s0"))) as one:
-            client, silent = await one.client(), await one.client()
-            client.send(b"CALL.GET", CUSTOMER, b"1", GET)
+        async with running_gateway(held(release), policy=ScriptedPolicy(forward_to("s0"))) as one:
+            client, silent = await one.connect_client(), await one.connect_client()
+            client.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
             await wait_until(
-                lambda: len(one.servers[0].calls()) == 1 and len(one.program.listener.clients) == 2
+                lambda: (
+                    len(one.servers[0].received_commands()) == 1 and len(one.program.listener.clients) == 2
+                )
             )
             server = one.program.listener.server
             leaving = asyncio.ensure_future(one.program.leave())
             await wait_until(lambda: server is not None and not server.is_serving())
-            client.send(b"CALL.GET", CUSTOMER, b"2", GET)  # behind the first, whose answer is still to come
-            silent.send(b"CALL.GET", CUSTOMER, b"3", GET)  # its connection came before the end, and is new
-            await wait_until(lambda: len(one.servers[0].calls()) == 3)
+            client.send(
+                b"CALL.GET", CUSTOMER, b"2", READ_FIELDS
+            )  # behind the first, whose answer is still to come
+            silent.send(
+                b"CALL.GET", CUSTOMER, b"3", READ_FIELDS
+            )  # its connection came before the end, and is new
+            await wait_until(lambda: len(one.servers[0].received_commands()) == 3)
             release.set()
-            assert [await client.reply() for _ in range(3)] == [b"value", b"value", None]
-            assert [await silent.reply() for _ in range(2)] == [b"value", None]
+            assert [await client.read_reply() for _ in range(3)] == [b"value", b"value", None]
+            assert [await silent.read_reply() for _ in range(2)] == [b"value", None]
             await leaving
 
     run_scenario(scenario())
@@ -63,14 +73,14 @@
 
 def test_at_its_end_a_gateway_answers_what_it_holds_and_refuses_what_still_comes() -> None:
     async def scenario() -> None:
-        async with running_gateway(always_reply(None), decisions=ScriptedPolicy(forward_to("s0"))) as one:
-            client, other = await one.client(), await one.client()
-            client.send(b"CALL.GET", CUSTOMER, b"1", GET)
-            await wait_until(lambda: len(one.servers[0].calls()) == 1)
+        async with running_gateway(always_reply(None), policy=ScriptedPolicy(forward_to("s0"))) as one:
+            client, other = await one.connect_client(), await one.connect_client()
+            client.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
+            await wait_until(lambda: len(one.servers[0].received_commands()) == 1)
             one.program.gateway.leave()
-            assert str(await client.reply()) == "ERR failed"  # it may have run
-            assert str(await other.ask(b"CALL.GET", CUSTOMER, b"2", GET)) == "BUSY"
-            assert len(one.servers[0].calls()) == 1
+            assert str(await client.read_reply()) == "ERR failed"  # it may have run
+            assert str(await other.execute(b"CALL.GET", CUSTOMER, b"2", READ_FIELDS)) == "BUSY"
+            assert len(one.servers[0].received_commands()) == 1
             assert not one.program.gateway.live
 
     run_scenario(scenario())
@@ -85,7 +95,7 @@
     """It lies in the kernel, unread, at the moment at which the connection would be closed as idle."""
 
     async def scenario() -> None:
-        async with running_gateway(always_reply(SERVED), decisions=ScriptedPolicy(forward_to("s0"))) as one:
+        async with running_gateway(always_reply(OK_RESPONSE), policy=ScriptedPolicy(forward_to("s0"))) as one:
             with socket.create_connection(("127.0.0.1", one.port)) as client:
                 client.setblocking(False)
                 await wait_until(lambda: one.program.listener.clients)
@@ -107,11 +117,11 @@
 
     async def scenario() -> None:
         release = asyncio.Event()
-        async with running_gateway(held(release), decisions=ScriptedPolicy(forward_to("s0"))) as one:
-            client = await one.client()
+        async with running_gateway(held(release), policy=ScriptedPolicy(forward_to("s0"))) as one:
+            client = await one.connect_client()
             for number in range(MOST_PENDING + 8):
                 extra = (b"x" * body,) if body and number >= MOST_PENDING else ()
-                client.send(b"CALL.GET", CUSTOMER, b"%d" % number, GET, *extra)
+                client.send(b"CALL.GET", CUSTOMER, b"%d" % number, READ_FIELDS, *extra)
             gateway = one.program.gateway
             await wait_until(lambda: len(gateway.live) == MOST_PENDING)
             (taken,) = one.program.listener.clients
@@ -120,20 +130,20 @@
             await wait_until(lambda: not gateway.live)
             release.set()
             await wait_until(lambda: not gateway.out)
-            assert len(one.servers[0].calls()) <= MOST_PENDING
+            assert len(one.servers[0].received_commands()) <= MOST_PENDING
             assert clients_module.GONE_S <= 0.05  # nothing is sent on 0.1 s later
 
     run_scenario(scenario())
 
 
-@pytest.mark.parametrize("last", [SERVED, b""])
+@pytest.mark.parametrize("last", [OK_RESPONSE, b""])
 def test_what_lies_unread_on_an_idle_connection_to_a_server_keeps_it_from_use(last: bytes) -> None:
     """A second answer that came late would be the next request's; an end would reset that."""
 
     async def scenario() -> None:
-        async with running_gateway(always_reply(SERVED), decisions=ScriptedPolicy(forward_to("s0"))) as one:
-            client = await one.client()
-            assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
+        async with running_gateway(always_reply(OK_RESPONSE), policy=ScriptedPolicy(forward_to("s0"))) as one:
+            client = await one.connect_client()
+            assert await client.execute(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS) == b"value"
             pool = one.program.servers.pools["s0"]
             (conn,) = pool.idle
             conn.idle_since -= 2 * servers_module.SETTLE_S
@@ -157,7 +167,7 @@
     """A crowd that came in one turn of the loop pushed out whoever had just sent a request."""
 
     async def scenario() -> None:
-        async with running_gateway(always_reply(SERVED), decisions=ScriptedPolicy(forward_to("s0"))) as one:
+        async with running_gateway(always_reply(OK_RESPONSE), policy=ScriptedPolicy(forward_to("s0"))) as one:
             with socket.create_connection(("127.0.0.1", one.port)) as client:
                 client.setblocking(False)
                 listener = one.program.listener
--- a/tests/network/test_gateway.py
+++ b/tests/network/test_gateway.py
@@ -19,11 +19,11 @@
     TimerFired,
 )
 from tests.network.harness import (
-    CHARGE,
+    CHARGE_FIELDS,
     CUSTOMER,
-    GET,
-    ORDER,
-    SERVED,
+    OK_RESPONSE,
+    ORDER_FIELDS,
+    READ_FIELDS,
     Reply,
     ScriptedPolicy,
     always_reply,
@@ -36,11 +36,13 @@
 
 def test_a_request_is_served_and_goes_on_unchanged_but_for_the_time_left() -> None:
     async def scenario() -> None:
-        async with running_gateway(always_reply(SERVED)) as one:
-            client = await one.client()
-            assert await client.ask(b"PING") == b"PONG"
-            assert await client.ask(b"CALL.POST", CUSTOMER, b"id-1", ORDER, b"body\r\n*1") == b"value"
-            verb, customer, name, fields, body = one.servers[0].calls()[0]
+        async with running_gateway(always_reply(OK_RESPONSE)) as one:
+            client = await one.connect_client()
+            assert await client.execute(b"PING") == b"PONG"
+            assert (
+                await client.execute(b"CALL.POST", CUSTOMER, b"id-1", ORDER_FIELDS, b"body\r\n*1") == b"value"
+            )
+            verb, customer, name, fields, body = one.servers[0].received_commands()[0]
             assert (verb, customer, name, body) == (b"CALL.POST", CUSTOMER, b"id-1", b"body\r\n*1")
             before, _, rest = fields.partition(b"d=")
             left, _, after = rest.partition(b",")
@@ -56,10 +58,10 @@
 
 
 ENDINGS: list[tuple[Reply, CallOutcome]] = [
-    (always_reply(SERVED), CallOutcome.OK),
+    (always_reply(OK_RESPONSE), CallOutcome.OK),
     (always_reply(b"*3\r\n$0\r\n\r\n*-1\r\n$-1\r\n"), CallOutcome.OK),
     (always_reply(b"*3\r\n$1\r\nv\r\n*1\r\n:7\r\n:5\r\n"), CallOutcome.OK),
-    (always_reply(SERVED + b"noise"), CallOutcome.OK),
+    (always_reply(OK_RESPONSE + b"noise"), CallOutcome.OK),
     (always_reply(b"*1\r\n$0\r\n\r\n"), CallOutcome.ERROR),
     (always_reply(b"*4\r\n$1\r\nv\r\n$-1\r\n$-1\r\n$-1\r\n"), CallOutcome.ERROR),
     (always_reply(b"*3\r\n$3\r\nvalue\r\n$-1\r\n$-1\r\n"), CallOutcome.ERROR),
@@ -87,10 +89,10 @@
     async def scenario() -> None:
         # The time-out is long enough not to cut in where an answer comes, on any machine.
         script = ScriptedPolicy(forward_to("s0", 200.0 if ending is CallOutcome.TIMEOUT else 0.0))
-        async with running_gateway(reply, decisions=script) as one:
-            client = await one.client()
-            answer = await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)
-            ended = script.of(AttemptCompleted)
+        async with running_gateway(reply, policy=script) as one:
+            client = await one.connect_client()
+            answer = await client.execute(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
+            ended = script.events_of(AttemptCompleted)
             assert [event.outcome for event in ended] == [ending]
             assert ended[0].request_completed is (ending is CallOutcome.OK)
             assert isinstance(answer, bytes) is (ending is CallOutcome.OK)
@@ -102,11 +104,13 @@
 def test_a_refused_connection_did_not_run() -> None:
     async def scenario() -> None:
         script = ScriptedPolicy(forward_to("s0"))
-        async with running_gateway(always_reply(SERVED), decisions=script) as one:
+        async with running_gateway(always_reply(OK_RESPONSE), policy=script) as one:
             await one.servers[0].stop()
-            client = await one.client()
-            assert str(await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)) == "ERR failed"
-            assert [event.outcome for event in script.of(AttemptCompleted)] == [CallOutcome.UNREACHABLE]
+            client = await one.connect_client()
+            assert str(await client.execute(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)) == "ERR failed"
+            assert [event.outcome for event in script.events_of(AttemptCompleted)] == [
+                CallOutcome.UNREACHABLE
+            ]
 
     run_scenario(scenario())
 
@@ -127,10 +131,10 @@
             return []
 
         async with running_gateway(
-            always_reply(None), always_reply(SERVED), decisions=ScriptedPolicy(decide)
+            always_reply(None), always_reply(OK_RESPONSE), policy=ScriptedPolicy(decide)
         ) as one:
-            client = await one.client()
-            assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
+            client = await one.connect_client()
+            assert await client.execute(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS) == b"value"
             assert seen == ["timeout with 0 open"]
             await wait_until(lambda: ("closed", 1, []) in one.servers[0].log)
 
@@ -143,14 +147,14 @@
             if isinstance(event, Request):
                 return [StartAttempt(event.request_id, "s0"), SetTimer(5, 0.0)]
             if isinstance(event, TimerFired):
-                return [CancelAttempt("1", 0)] if one.servers[0].calls() else [SetTimer(5, 0.0)]
+                return [CancelAttempt("1", 0)] if one.servers[0].received_commands() else [SetTimer(5, 0.0)]
             return [Fail(event.request_id)] if isinstance(event, AttemptCompleted) else []
 
         script = ScriptedPolicy(decide)
-        async with running_gateway(always_reply(None), decisions=script) as one:
-            client = await one.client()
-            assert str(await client.ask(b"CALL.POST", CUSTOMER, b"1", CHARGE)) == "ERR failed"
-            assert [event.outcome for event in script.of(AttemptCompleted)] == [CallOutcome.CANCELLED]
+        async with running_gateway(always_reply(None), policy=script) as one:
+            client = await one.connect_client()
+            assert str(await client.execute(b"CALL.POST", CUSTOMER, b"1", CHARGE_FIELDS)) == "ERR failed"
+            assert [event.outcome for event in script.events_of(AttemptCompleted)] == [CallOutcome.CANCELLED]
             await wait_until(lambda: ("closed", 1, []) in one.servers[0].log)
 
     run_scenario(scenario())
@@ -164,14 +168,14 @@
             return []
 
         script = ScriptedPolicy(decide)
-        async with running_gateway(always_reply(None), always_reply(SERVED), decisions=script) as one:
-            client = await one.client()
-            client.send(b"CALL.GET", CUSTOMER, b"1", GET)
-            await wait_until(lambda: script.of(AttemptCompleted))
-            assert [(e.attempt, e.outcome) for e in script.of(AttemptCompleted)] == [
+        async with running_gateway(always_reply(None), always_reply(OK_RESPONSE), policy=script) as one:
+            client = await one.connect_client()
+            client.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
+            await wait_until(lambda: script.events_of(AttemptCompleted))
+            assert [(e.attempt, e.outcome) for e in script.events_of(AttemptCompleted)] == [
                 (1, CallOutcome.NOT_SENT)
             ]
-            assert one.servers[1].calls() == []
+            assert one.servers[1].received_commands() == []
 
     run_scenario(scenario())
 
@@ -186,9 +190,9 @@
             return [Reject(event.request_id, 7.0)] if isinstance(event, AttemptCompleted) else []
 
         for reply, answer in ((b"-ERR failed\r\n", "ERR failed"), (b"-BUSY\r\n", "BUSY 7")):
-            async with running_gateway(always_reply(reply), decisions=ScriptedPolicy(decide)) as one:
-                client = await one.client()
-                assert str(await client.ask(b"CALL.POST", CUSTOMER, b"1", CHARGE)) == answer
+            async with running_gateway(always_reply(reply), policy=ScriptedPolicy(decide)) as one:
+                client = await one.connect_client()
+                assert str(await client.execute(b"CALL.POST", CUSTOMER, b"1", CHARGE_FIELDS)) == answer
 
     run_scenario(scenario())
 
@@ -200,12 +204,14 @@
             return [StartAttempt(event.request_id, "s0")] if sent and isinstance(event, Request) else []
 
         script = ScriptedPolicy(decide)
-        async with running_gateway(always_reply(None), decisions=script) as one:
-            client = await one.client()
-            fields = CHARGE.replace(b"d=20000", b"d=300")
-            assert str(await client.ask(b"CALL.POST", CUSTOMER, b"1", fields)) == answer
-            assert script.of(ClientDisconnected) == [ClientDisconnected("1")]
-            assert [e.outcome for e in script.of(AttemptCompleted)] == ([CallOutcome.TIMEOUT] if sent else [])
+        async with running_gateway(always_reply(None), policy=script) as one:
+            client = await one.connect_client()
+            fields = CHARGE_FIELDS.replace(b"d=20000", b"d=300")
+            assert str(await client.execute(b"CALL.POST", CUSTOMER, b"1", fields)) == answer
+            assert script.events_of(ClientDisconnected) == [ClientDisconnected("1")]
+            assert [e.outcome for e in script.events_of(AttemptCompleted)] == (
+                [CallOutcome.TIMEOUT] if sent else []
+            )
 
     run_scenario(scenario())
 
@@ -224,10 +230,10 @@
             return decide(event)
 
         script.handle = handle  # type: ignore[method-assign]
-        async with running_gateway(always_reply(SERVED), decisions=script) as one:
-            client = await one.client()
-            assert str(await client.ask(b"CALL.GET", CUSTOMER, b"1", GET)) == "BUSY"
-            assert await client.ask(b"CALL.POST", CUSTOMER, b"2", CHARGE) == b"value"
+        async with running_gateway(always_reply(OK_RESPONSE), policy=script) as one:
+            client = await one.connect_client()
+            assert str(await client.execute(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)) == "BUSY"
+            assert await client.execute(b"CALL.POST", CUSTOMER, b"2", CHARGE_FIELDS) == b"value"
 
     run_scenario(scenario())
 
@@ -242,14 +248,14 @@
             return b"*3\r\n$1\r\n%b\r\n*-1\r\n$-1\r\n" % words[2]
 
         script = ScriptedPolicy(forward_to("s0"))
-        async with running_gateway(reply, decisions=script) as one:
-            client = await one.client()
+        async with running_gateway(reply, policy=script) as one:
+            client = await one.connect_client()
             for name in (b"1", b"2", b"3"):
-                client.send(b"CALL.GET", CUSTOMER, name, GET)
+                client.send(b"CALL.GET", CUSTOMER, name, READ_FIELDS)
             client.send(b"PING")
-            await wait_until(lambda: len(script.of(AttemptCompleted)) == 2)
+            await wait_until(lambda: len(script.events_of(AttemptCompleted)) == 2)
             release.set()
-            assert [await client.reply() for _ in range(4)] == [b"1", b"2", b"3", b"PONG"]
+            assert [await client.read_reply() for _ in range(4)] == [b"1", b"2", b"3", b"PONG"]
 
     run_scenario(scenario())
 
@@ -257,12 +263,12 @@
 def test_a_client_that_leaves_is_told_to_the_module() -> None:
     async def scenario() -> None:
         script = ScriptedPolicy(forward_to("s0"))
-        async with running_gateway(always_reply(None), decisions=script) as one:
-            client = await one.client()
-            client.send(b"CALL.GET", CUSTOMER, b"1", GET)
-            await wait_until(lambda: one.servers[0].calls())
+        async with running_gateway(always_reply(None), policy=script) as one:
+            client = await one.connect_client()
+            client.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
+            await wait_until(lambda: one.servers[0].received_commands())
             client.writer.close()
-            await wait_until(lambda: script.of(ClientDisconnected))
+            await wait_until(lambda: script.events_of(ClientDisconnected))
             assert one.program.gateway.live == {}
 
     run_scenario(scenario())
@@ -273,7 +279,7 @@
         fired: list[float] = []
 
         def decide(event: Event) -> list[Action]:
-            if isinstance(event, EndpointUpdate) and not script.of(EndpointUpdate)[1:]:
+            if isinstance(event, EndpointUpdate) and not script.events_of(EndpointUpdate)[1:]:
                 return [SetTimer(3, one_clock.now() + 5.0)]
             if isinstance(event, TimerFired):
                 fired.append(one_clock.now())
@@ -281,10 +287,10 @@
 
         one_clock, script = Clock(), ScriptedPolicy(decide)
         start = one_clock.now()
-        async with running_gateway(decisions=script):
+        async with running_gateway(policy=script):
             await wait_until(lambda: fired)
             assert fired[0] >= start + 5.0
-            assert script.of(TimerFired) == [TimerFired(3)]
+            assert script.events_of(TimerFired) == [TimerFired(3)]
 
     run_scenario(scenario())
 
--- a/tests/network/test_leaving.py
+++ b/tests/network/test_leaving.py
@@ -15,7 +15,7 @@
 from quota_gateway.policy_api.events import AttemptCompleted, CallOutcome, ClientDisconnected
 from tests.network.harness import (
     CUSTOMER,
-    GET,
+    READ_FIELDS,
     FakeDiscovery,
     ScriptedPolicy,
     endpoint_list_response,
@@ -57,17 +57,17 @@
             port = int(server.getsockname()[1])
             script = ScriptedPolicy(forward_to("s9"))
             discovery = FakeDiscovery(endpoint_list_response(2, [server_row("s9", port)]))
-            async with running_gateway(decisions=script, discovery=discovery) as one:
+            async with running_gateway(policy=script, discovery=discovery) as one:
                 await wait_until(lambda: "s9" in one.program.servers.pools)
-                client = await one.client()
-                client.send(b"CALL.GET", CUSTOMER, b"1", GET)
+                client = await one.connect_client()
+                client.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
                 await wait_until(lambda: one.program.servers.connecting)
                 client.writer.close()
-                await wait_until(lambda: script.of(ClientDisconnected))
+                await wait_until(lambda: script.events_of(ClientDisconnected))
                 coming = asyncio.ensure_future(heard(server))
-                await wait_until(lambda: script.of(AttemptCompleted) or coming.done())
+                await wait_until(lambda: script.events_of(AttemptCompleted) or coming.done())
                 # Told as never sent: that a client left says nothing of the server.
-                assert [e.outcome for e in script.of(AttemptCompleted)] == [CallOutcome.NOT_SENT]
+                assert [e.outcome for e in script.events_of(AttemptCompleted)] == [CallOutcome.NOT_SENT]
                 assert not one.program.gateway.out
                 assert not one.program.servers.pools["s9"].open
                 coming.cancel()
@@ -87,7 +87,7 @@
                 await release.wait()
             return big
 
-        async with running_gateway(reply, decisions=ScriptedPolicy(forward_to("s0"))) as one:
+        async with running_gateway(reply, policy=ScriptedPolicy(forward_to("s0"))) as one:
             with socket.create_connection(("127.0.0.1", one.port)) as client:
                 client.setblocking(False)
                 await wait_until(lambda: one.program.listener.clients)
@@ -95,8 +95,11 @@
                 assert held.transport is not None
                 held.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
                 ids = [b"%d" % number for number in range(60)]
-                packed = [hiredis.pack_command((b"CALL.GET", CUSTOMER, i, GET)) for i in [*ids, b"last"]]  # type: ignore[arg-type]
-                client.send(b"".join(packed))
+                packed = b""
+                for request_id in [*ids, b"last"]:
+                    words = (b"CALL.GET", CUSTOMER, request_id, READ_FIELDS)
+                    packed += hiredis.pack_command(words)  # type: ignore[arg-type]
+                client.send(packed)
                 await wait_until(lambda: held.full and len(one.program.gateway.live) == 1)
                 (live,) = one.program.gateway.live.values()
                 client.shutdown(socket.SHUT_WR)
--- a/tests/network/test_long_lists.py
+++ b/tests/network/test_long_lists.py
@@ -14,8 +14,8 @@
 from quota_gateway.policy_api.endpoints import EndpointUpdate
 from tests.network.harness import (
     CUSTOMER,
-    GET,
-    SERVED,
+    OK_RESPONSE,
+    READ_FIELDS,
     FakeDiscovery,
     ScriptedPolicy,
     always_reply,
@@ -93,9 +93,9 @@
         assert len(body) > LONG_BODY
         discovery = FakeDiscovery()
         script = ScriptedPolicy(forward_to("s0"))
-        async with running_gateway(always_reply(SERVED), decisions=script, discovery=discovery) as one:
+        async with running_gateway(always_reply(OK_RESPONSE), policy=script, discovery=discovery) as one:
             many[-1] = server_row("s0", one.servers[0].port)
-            client = await one.client()
+            client = await one.connect_client()
             gateway, turns, served = one.program.gateway, 0, []
 
             async def turning() -> None:
@@ -106,7 +106,7 @@
 
             async def asking() -> None:
                 for number in itertools.count():
-                    reply = await client.ask(b"CALL.GET", CUSTOMER, b"%d" % number, GET)
+                    reply = await client.execute(b"CALL.GET", CUSTOMER, b"%d" % number, READ_FIELDS)
                     assert reply == b"value"
                     served.append(len(gateway.servers.pools))
 
@@ -120,7 +120,7 @@
             await wait_until(lambda: len(gateway.servers.pools) >= active)
             assert turns - before >= 2 * MANY // STEP
             assert any(1 < pools < active for pools in served)  # a request was served in the middle of it
-            taken = script.of(EndpointUpdate)
+            taken = script.events_of(EndpointUpdate)
             assert max(len(news.endpoints) for news in taken) <= STEP
             for task in tasks:
                 task.cancel()
--- a/tests/network/test_process.py
+++ b/tests/network/test_process.py
@@ -14,12 +14,12 @@
 from quota_gateway.policy_api.events import CallOutcome
 from tests.network.harness import (
     CUSTOMER,
-    GET,
-    ORDER,
-    SERVED,
-    ClientConnection,
+    OK_RESPONSE,
+    ORDER_FIELDS,
+    READ_FIELDS,
     FakeDiscovery,
     FakeRespServer,
+    RespClient,
     ScriptedPolicy,
     always_reply,
     endpoint_list_response,
@@ -57,7 +57,7 @@
 
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
             await release.wait()
-            return SERVED
+            return OK_RESPONSE
 
         server, counts, discovery = (
             FakeRespServer(reply),
@@ -76,18 +76,18 @@
         path.write_text(json.dumps(raw_config(discovery.port, counts.port, rows, listen)))
         process = await start(path)
         held = await patient(listen)
-        idle = await ClientConnection.connect(listen)
-        assert await idle.ask(b"PING") == b"PONG"
-        held.send(b"CALL.POST", CUSTOMER, b"1", ORDER)
-        await wait_until(lambda: len(server.calls()) == 1)
+        idle = await RespClient.connect(listen)
+        assert await idle.execute(b"PING") == b"PONG"
+        held.send(b"CALL.POST", CUSTOMER, b"1", ORDER_FIELDS)
+        await wait_until(lambda: len(server.received_commands()) == 1)
         process.send_signal(signal.SIGTERM)
-        late = await ClientConnection.connect(listen)
-        late.send(b"CALL.POST", CUSTOMER, b"2", ORDER)
-        await wait_until(lambda: len(server.calls()) == 2)
-        assert await idle.ended()  # between requests: closed once new ones no longer come
+        late = await RespClient.connect(listen)
+        late.send(b"CALL.POST", CUSTOMER, b"2", ORDER_FIELDS)
+        await wait_until(lambda: len(server.received_commands()) == 2)
+        assert await idle.closed_by_gateway()  # between requests: closed once new ones no longer come
         release.set()
-        assert [await held.reply(), await late.reply()] == [b"value", b"value"]
-        assert await held.reply() is None
+        assert [await held.read_reply(), await late.read_reply()] == [b"value", b"value"]
+        assert await held.read_reply() is None
         assert await process.wait() == 0
         for peer in (server, counts, discovery):
             await peer.stop()
@@ -99,7 +99,7 @@
     """Also several in a row, and a file that can't be read leaves what was in force."""
 
     async def scenario() -> None:
-        server = FakeRespServer(always_reply(SERVED))
+        server = FakeRespServer(always_reply(OK_RESPONSE))
         await server.start()
         rows = [server_row("s0", server.port)]
 
@@ -127,12 +127,12 @@
         process = await start(path)
         assert process.stderr is not None
         client = await patient(listen)
-        assert await client.ask(b"CALL.GET", CUSTOMER, b"1", GET) == b"value"
+        assert await client.execute(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS) == b"value"
         path.write_text("{")
         process.send_signal(signal.SIGHUP)
         while b"stays" not in await process.stderr.readline():
             pass
-        assert await client.ask(b"CALL.GET", CUSTOMER, b"2", GET) == b"value"
+        assert await client.execute(b"CALL.GET", CUSTOMER, b"2", READ_FIELDS) == b"value"
         for place in (1, 2):
             write(place)
             process.send_signal(signal.SIGHUP)
@@ -143,8 +143,8 @@
         assert discovery.targets[0] == "/v1/servers"
         assert "since=3&" in discovery.targets[1]
         ids = (b"%016x" % number for number in range(100, 10_000))
-        while not counts.calls():
-            assert await client.ask(b"CALL.GET", CUSTOMER, next(ids), GET) == b"value"
+        while not counts.received_commands():
+            assert await client.execute(b"CALL.GET", CUSTOMER, next(ids), READ_FIELDS) == b"value"
             await asyncio.sleep(0.01)
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
@@ -178,7 +178,7 @@
         await wait_until(lambda: all(link.ready() for link in made.links))
         call(2)
         call(4)
-        await wait_until(lambda: len(old.calls()) == 2)
+        await wait_until(lambda: len(old.received_commands()) == 2)
         made.move(("127.0.0.1", new.port))
         await wait_until(lambda: all(link.ready() for link in made.links))
         call(4)  # its old call ends now: answers for one name keep their order
@@ -188,7 +188,7 @@
         await wait_until(lambda: len(ends) == 3)
         await wait_until(lambda: [what for what, *_ in old.log].count("closed") == counter_module.LINKS)
         assert ends[2] == (2, 7.0, CallOutcome.OK)
-        assert len(new.calls()) == 1
+        assert len(new.received_commands()) == 1
         made.close()
         await old.stop()
         await new.stop()
@@ -201,7 +201,7 @@
         old, new = FakeDiscovery(endpoint_list_response(9, [server_row("a", 80)])), FakeDiscovery()
         await new.start()
         script = ScriptedPolicy(lambda event: [])
-        async with running_gateway(decisions=script, discovery=old) as one:
+        async with running_gateway(policy=script, discovery=old) as one:
             await wait_until(lambda: len(old.targets) == 2)
             one.program.discovery.move(("127.0.0.1", new.port))
             old.answers.append(endpoint_list_response(10, [], full=True))
--- a/tests/network/test_start.py
+++ b/tests/network/test_start.py
@@ -46,7 +46,7 @@
         path.write_text(json.dumps(raw_config(where, counts.port, rows, listen)))
         async with limited(path, 1024) as process:
             client = await patient(listen)
-            assert await client.ask(b"PING") == b"PONG"
+            assert await client.execute(b"PING") == b"PONG"
             assert spent_s(process.pid) < READY_S * LEAST_SHARE
         for peer in (counts, discovery):
             await peer.stop()
@@ -64,7 +64,7 @@
         for _ in range(3):
             async with limited(path, 1024) as process:
                 held = [await patient(listen) for _ in range(5)]
-                assert await held[0].ask(b"PING") == b"PONG"
+                assert await held[0].execute(b"PING") == b"PONG"
                 process.kill()
                 await process.wait()
 
