--- a/quota_gateway/lab/cli/lab.py
+++ b/quota_gateway/lab/cli/lab.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import logging
 import os
 import statistics
 import sys
@@ -20,6 +19,7 @@
 from rich.progress import Progress, TaskProgressColumn, TextColumn, TimeElapsedColumn
 
 from quota_gateway.lab import results
+from quota_gateway.lab.cli.logging_setup import configure_logging
 from quota_gateway.lab.scaling import capacity, slopes
 from quota_gateway.lab.simulation.experiment import Experiment, ExperimentError, load, load_as
 from quota_gateway.lab.simulation.simulation import World
@@ -36,24 +36,13 @@
     return typer.Exit(2)
 
 
-def check_out(out: Path | None) -> None:
-    """A result that cannot be written is better known before the run than after it."""
-    if out is not None and not out.parent.is_dir():
-        raise fail(f"{out}: no such folder: {out.parent}")
-
-
-def logs() -> None:
-    """Structured lines on standard error; standard output holds the tables."""
-    structlog.configure(
-        processors=[
-            structlog.processors.add_log_level,
-            structlog.processors.TimeStamper(fmt="iso", utc=True),
-            structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"]),
-        ],
-        wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
-        logger_factory=lambda *_: structlog.PrintLogger(sys.stderr),
-        cache_logger_on_first_use=False,
-    )
+def check_output(out: Path | None) -> None:
+    """Raise typer.Exit before the run if the result could not be written after it."""
+    try:
+        if out is not None:
+            results.check_output_path(out)
+    except OSError as error:
+        raise fail(str(error)) from None
 
 
 class Bar:
@@ -78,7 +67,7 @@
 
 def play(experiment: Experiment, seed: int) -> dict[str, Any]:
     """Runs an experiment and returns its result."""
-    logs()  # also where this is a process of its own
+    configure_logging()  # also where this is a process of its own
     log = structlog.get_logger()
     fleet = experiment.fleet
     log.info(
@@ -141,8 +130,8 @@
     ] = 1,
 ) -> None:
     """Plays an experiment in simulated time and prints its figures."""
-    logs()
-    check_out(out)
+    configure_logging()
+    check_output(out)
     try:
         made = load(experiment)
     except ExperimentError as error:
@@ -164,8 +153,8 @@
     repeats: Annotated[int, typer.Option(min=1, help="Repetitions of each measurement.")] = 5,
 ) -> None:
     """Measures what the real module and network code cost against the number of servers and customers."""
-    logs()
-    check_out(out)
+    configure_logging()
+    check_output(out)
     with bar("slopes") as progress:
         result = slopes.measure(most, repeats, progress)
     slopes.show(results.console(), result)
@@ -179,7 +168,7 @@
     out: Out = None,
 ) -> None:
     """Works out what each role needs at a size, from measured slopes, as a table for a page."""
-    check_out(out)
+    check_output(out)
     try:
         made = load_as(size, capacity.Outlook, capacity.impossible)
         found = capacity.Slopes(measured)
--- a/quota_gateway/lab/cli/trial_command.py
+++ b/quota_gateway/lab/cli/trial_command.py
@@ -2,15 +2,13 @@
 
 from __future__ import annotations
 
-import logging
-import sys
 from collections.abc import Sequence
 from pathlib import Path
 
-import structlog
 import typer
 
 from quota_gateway.lab import results
+from quota_gateway.lab.cli.logging_setup import configure_logging
 from quota_gateway.lab.load import report
 from quota_gateway.lab.load.client import LoadPlan
 from quota_gateway.lab.load.fault_injection import Trouble, TroubleError
@@ -24,7 +22,7 @@
 ) -> None:
     """Runs a trial, shows and writes what it gave, and exits: 0 after a sound one, else 1; 2 where the result
     can't be written or a trouble can't be shown; 128 and the signal's number after one that ended it."""
-    _log_to_standard_error()
+    configure_logging()
     try:
         if json is not None:
             check_output(json)
@@ -44,11 +42,3 @@
         warn(f"ended by {signalled}")
         raise typer.Exit(signalled.status) from None
     raise typer.Exit(0 if result.sound else 1)
-
-
-def _log_to_standard_error() -> None:
-    """Standard output is for the result alone."""
-    structlog.configure(
-        wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
-        logger_factory=structlog.PrintLoggerFactory(sys.stderr),
-    )
--- a/quota_gateway/lab/results.py
+++ b/quota_gateway/lab/results.py
@@ -58,6 +58,19 @@
     return f"{made['cpu']}, {made['cores']} cores, Python {made['python']}, {made['date']}, {pace}"
 
 
+def check_output_path(path: Path) -> None:
+    """Check that a result can be written to a path, before a run that would end there in vain.
+
+    Raises:
+        IsADirectoryError: a directory stands there.
+        PermissionError: the directory it would stand in is missing or not writable.
+    """
+    if path.is_dir():
+        raise IsADirectoryError(f"{path} is a directory")
+    if not os.access(path.parent, os.W_OK):
+        raise PermissionError(f"can't write into {path.parent}")
+
+
 def write(path: Path, result: object) -> None:
     """Writes what msgspec can encode as JSON, under a name of its own, then gives it the right one. Raises
     OSError, leaving nothing."""
