--- a/quota_gateway/network/__main__.py
+++ b/quota_gateway/network/__main__.py
@@ -22,6 +22,7 @@
 from quota_gateway.network.commands import Bounds, Catalogue, bounds
 from quota_gateway.network.counter_client import LINKS, Counter
 from quota_gateway.network.discovery.watch import Discovery, ListError, News, address, read_list
+from quota_gateway.network.log_setup import configure_logging, log_event
 from quota_gateway.network.server_pool import Limits, Servers, idle_s
 from quota_gateway.policy.gateway import Gateway as Policy
 from quota_gateway.settings import Settings, decode_settings, number_or
@@ -34,7 +35,6 @@
 MOST_DEADLINE_S = 3.0
 LEAVE_BEFORE_S = 0.5
 LINGER_S = 0.2  # for the last replies to leave
-LOG_LINES_S = 20
 # Descriptors that are neither a client's nor a server's: the counter's links, twice while it moves,
 # discovery's connection and the next one, the listener, the standard streams, the loop's and a poll's own.
 RESERVED = 2 * LINKS + 2 + 1 + 3 + 8
@@ -155,21 +155,6 @@
     )
 
 
-class LogLimit(logging.Filter):
-    """At most so many lines a second: the log must not become the load."""
-
-    def __init__(self) -> None:
-        super().__init__()
-        self.second, self.lines = 0, 0
-
-    def filter(self, record: logging.LogRecord) -> bool:
-        second = int(record.created)
-        if second != self.second:
-            self.second, self.lines = second, 0
-        self.lines += 1
-        return self.lines <= LOG_LINES_S
-
-
 class Program:
     """One gateway process, from start to end."""
 
@@ -211,10 +196,10 @@
         gc.collect()
         gc.freeze()  # what was loaded lives for ever; no collection needs to look at it again
         gc.set_threshold(20_000, 20, 20)
-        log.info("%s serves", self.config.name)
+        log_event(log, logging.INFO, "gateway_ready", name=self.config.name)
         await self.stopping.wait()
         await self.leave()
-        log.info("%s has ended", self.config.name)
+        log_event(log, logging.INFO, "gateway_stopped", name=self.config.name)
 
     async def start(self) -> None:
         """Brings the parts up; clients come last."""
@@ -231,9 +216,9 @@
         try:
             config = load(self.environ)
         except ConfigError as error:
-            log.error("the configuration in force stays: %s", error)
+            log_event(log, logging.ERROR, "config_reload_failed", error=error)
             return
-        log.info("the configuration was read again")
+        log_event(log, logging.INFO, "config_reloaded")
         if replace(
             config,
             discovery=self.config.discovery,
@@ -241,7 +226,7 @@
             known=None,
             seed=self.config.seed,
         ) != replace(self.config, known=None):
-            log.warning("what changed besides the addresses of discovery and counter waits for a restart")
+            log_event(log, logging.WARNING, "config_change_needs_restart", applied="discovery,counter")
         self.discovery.move(config.discovery)
         if self.counter is not None and config.counter is not None:
             self.counter.move(config.counter)
@@ -309,9 +294,7 @@
         return told(sys.argv[1:])
     hangups: list[int] = []  # without a handler a SIGHUP would end the process, however early it comes
     signal.signal(signal.SIGHUP, lambda number, frame: hangups.append(number))
-    logging.basicConfig(level=logging.INFO, stream=sys.stderr, format="%(asctime)s %(levelname)s %(message)s")
-    for handler in logging.getLogger().handlers:
-        handler.addFilter(LogLimit())
+    configure_logging()
     try:
         environ = dict(os.environ)
         config = load(environ)
--- a/quota_gateway/network/discovery/watch.py
+++ b/quota_gateway/network/discovery/watch.py
@@ -27,6 +27,7 @@
 
 import h11
 
+from quota_gateway.network.log_setup import log_event
 from quota_gateway.policy_api.endpoints import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 
 TOLD_S = 6.0  # a change counts as told this long after discovery had it and could be reached ...
@@ -461,7 +462,7 @@
     def current(self) -> None:
         """The list holds all that discovery had when it answered."""
         if self.late:
-            log.info("the list of servers is current again, after %.1f s", TOLD_S - self.left())
+            log_event(log, logging.INFO, "endpoint_list_current", stale_s=f"{TOLD_S - self.left():.1f}")
         self.current_at, self.proven, self.late = self.loop.time(), True, False
         self.first.set()
 
@@ -470,7 +471,7 @@
         self.proven = False
         if self.left() < 0.0 and not self.late:
             self.late = True
-            log.warning("the list of servers has not been current for %.1f s", TOLD_S - self.left())
+            log_event(log, logging.WARNING, "endpoint_list_stale", stale_s=f"{TOLD_S - self.left():.1f}")
         self.expect(pause, then)
 
     def turned_away(self) -> float:
