--- a/quota_gateway/lab/simulation/gateways.py
+++ b/quota_gateway/lab/simulation/gateways.py
@@ -15,8 +15,8 @@
 from quota_gateway.lab.simulation.scheduler import stream
 from quota_gateway.lab.simulation.servers import Job, Life, Server
 from quota_gateway.lab.simulation.wire_sizes import SERVED, call_get, incrttl
-from quota_gateway.network.__main__ import LIST_WAIT_S
 from quota_gateway.network.bridge import ANSWER_MARGIN_S
+from quota_gateway.network.process import FIRST_LIST_TIMEOUT_S
 from quota_gateway.policy.gateway import Gateway
 from quota_gateway.policy_api.actions import (
     CancelAttempt,
@@ -124,7 +124,7 @@
         self.starts.clear()
         known = self.world.service.list_at(self.pool_number, self.since)
         self.started_at = self.kernel.now
-        self.ready_at = self.started_at + 1000.0 * LIST_WAIT_S
+        self.ready_at = self.started_at + 1000.0 * FIRST_LIST_TIMEOUT_S
         self.start(EndpointUpdate(UpdateKind.CACHED_SNAPSHOT, known), self.since)
 
     # --- events -------------------------------------------------------------------------------------------
--- a/quota_gateway/network/commands.py
+++ b/quota_gateway/network/commands.py
@@ -8,7 +8,7 @@
 
 from quota_gateway.network import resp
 from quota_gateway.network.bridge import Call
-from quota_gateway.settings import Idempotency, Settings, number_or
+from quota_gateway.settings import Idempotency, Settings
 
 MOST_FIELDS = 512  # bytes of the list of names and values
 CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
@@ -30,15 +30,6 @@
     wait_ms: float  # longer deadlines are served as this: none may hold a place for minutes
 
 
-def bounds(raw: dict[str, Any]) -> Bounds:
-    """From the settings."""
-    waits = [number_or(row.get("hard_limit_ms")) for row in raw["profiles"]]
-    return Bounds(
-        units=number_or((raw.get("domain") or {}).get("max_units")) or 1e6,
-        wait_ms=max(waits) if waits and min(waits) > 0 else 60_000.0,
-    )
-
-
 class Catalogue:
     """What a command may name, from the settings."""
 
--- /dev/null
+++ b/quota_gateway/network/config.py
@@ -0,0 +1,146 @@
+"""The configuration of a gateway process: a JSON file named by EDGE_CONFIG, and a few variables.
+
+The keys of the file are those of the operators' deployment pages. The mapping from them to `GatewayConfig`
+stands in this module; the `settings` object inside is decoded by `quota_gateway.settings`.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from typing import Any, TypeVar
+
+from quota_gateway.network.address import Address, parse_address
+from quota_gateway.network.discovery.watch import News, read_list
+from quota_gateway.settings import (
+    NetworkSettings,
+    Settings,
+    SettingsError,
+    decode_network_settings,
+    decode_settings,
+    number_or,
+)
+
+DEFAULT_NAME = "gateway"
+DEFAULT_MAX_SOCKETS = 1024
+MIN_SOCKETS = 64  # fewer leave nothing for clients and servers beside the reserved descriptors
+
+T = TypeVar("T")
+
+
+class ConfigError(Exception):
+    """A configuration that no gateway can run on; its text is one line for the operator."""
+
+
+class ConfigFileError(ConfigError):
+    """The configuration file is not named, can't be read, or holds no settings."""
+
+
+class ConfigValueError(ConfigError):
+    """A value that can't be used; `key` is its path in the file."""
+
+    def __init__(self, key: str, problem: str, file: str = "") -> None:
+        super().__init__(f"bad configuration{f' in {file}' if file else ''}: {key}: {problem}")
+        self.key = key
+        self.problem = problem
+
+
+@dataclass(frozen=True, slots=True)
+class GatewayConfig:
+    """What the platform tells a gateway process."""
+
+    name: str
+    listen_address: Address
+    discovery_address: Address
+    counter_address: Address | None
+    seed: int
+    max_sockets: int
+    cached_endpoints: News | None  # the endpoint list of before the start
+    settings: Settings
+    network: NetworkSettings
+
+
+def load_config(environ: Mapping[str, str]) -> GatewayConfig:
+    """Read the file that EDGE_CONFIG names; raises `ConfigError`."""
+    path = environ.get("EDGE_CONFIG")
+    if not path:
+        raise ConfigFileError(
+            "EDGE_CONFIG is not set: set it to the path of the JSON configuration (see --help), "
+            "or run `quota-gateway demo` to try a gateway"
+        )
+    try:
+        with open(path, encoding="utf-8") as file:
+            raw = json.load(file)
+    except (OSError, ValueError) as error:
+        raise ConfigFileError(f"can't read {path}: {error}") from None
+    if not isinstance(raw, dict) or not isinstance(raw.get("settings"), dict):
+        raise ConfigFileError(f"{path} holds no settings")
+    try:
+        return decode_config(raw, environ)
+    except ConfigValueError as error:
+        raise ConfigValueError(error.key, error.problem, path) from None
+
+
+def decode_config(raw: Mapping[str, Any], environ: Mapping[str, str]) -> GatewayConfig:
+    """Decode a configuration whose `settings` are an object; raises `ConfigValueError`.
+
+    The variables of the environment count where the file is silent.
+    """
+    listen = raw.get("listen") or environ.get("EDGE_LISTEN")
+    discovery = raw.get("discovery") or environ.get("EDGE_DISCOVERY")
+    settings, network = _decode_settings(raw["settings"])
+    counter = raw.get("counter") if settings.counter_enabled else None
+    known = raw.get("known")
+    return GatewayConfig(
+        name=str(raw.get("name") or environ.get("EDGE_NAME") or DEFAULT_NAME),
+        listen_address=_parse("listen", listen, parse_address),
+        discovery_address=_parse("discovery", discovery, parse_address),
+        counter_address=_parse("counter", counter, parse_address) if counter else None,
+        seed=_parse("seed", raw.get("seed") or 0, _parse_seed),
+        max_sockets=_parse("limits.sockets", _nested(raw, "limits").get("sockets"), _parse_max_sockets),
+        cached_endpoints=_parse("known", known, _parse_cached_endpoints) if known else None,
+        settings=settings,
+        network=network,
+    )
+
+
+def _parse(key: str, value: Any, parser: Callable[[Any], T]) -> T:
+    """Return the parsed value; a `ValueError` or `TypeError` of the parser becomes one that names the key."""
+    try:
+        return parser(value)
+    except (TypeError, ValueError) as error:
+        raise ConfigValueError(key, str(error)) from None
+
+
+def _nested(raw: Mapping[str, Any], key: str) -> Mapping[str, Any]:
+    value = raw.get(key)
+    return value if isinstance(value, dict) else {}
+
+
+def _decode_settings(raw: Mapping[str, Any]) -> tuple[Settings, NetworkSettings]:
+    try:
+        settings = decode_settings(raw)
+        network = decode_network_settings(raw)
+    except SettingsError as error:
+        raise ConfigValueError(f"settings.{error.key}", error.problem) from None
+    if not settings.classes:
+        raise ConfigValueError("settings.profiles", "names no classes")
+    if not settings.plans:
+        raise ConfigValueError("settings.packages", "names no plans")
+    return settings, network
+
+
+def _parse_seed(value: object) -> int:
+    return int(str(value), 16)
+
+
+def _parse_max_sockets(value: Any) -> int:
+    max_sockets = int(number_or(value, DEFAULT_MAX_SOCKETS))
+    if max_sockets < MIN_SOCKETS:
+        raise ValueError(f"{max_sockets} are too few, {MIN_SOCKETS} is the least")
+    return max_sockets
+
+
+def _parse_cached_endpoints(value: Any) -> News:
+    return read_list(value, saved=True)
--- a/quota_gateway/network/discovery/watch.py
+++ b/quota_gateway/network/discovery/watch.py
@@ -27,6 +27,7 @@
 
 import h11
 
+from quota_gateway.network.address import parse_address
 from quota_gateway.network.log_setup import log_event
 from quota_gateway.policy_api.endpoints import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 
@@ -76,14 +77,6 @@
     addresses: dict[str, tuple[str, int]] = field(default_factory=dict)
 
 
-def address(text: Any) -> tuple[str, int]:
-    """`host:port`."""
-    host, colon, port = str(text).rpartition(":")
-    if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ListError(f"not an address: {text!r}")
-    return host, int(port)
-
-
 def entry(row: dict[str, Any]) -> Endpoint:
     """One server. A state that is not known is read as draining: nothing new goes there."""
     return Endpoint(
@@ -100,7 +93,7 @@
     """Adds a server of a list."""
     entries.append(entry(row))
     if row.get("addr"):
-        addresses[str(row["id"])] = address(row["addr"])
+        addresses[str(row["id"])] = parse_address(row["addr"])
 
 
 def whole(
--- /dev/null
+++ b/quota_gateway/network/process.py
@@ -0,0 +1,204 @@
+"""A gateway process: start, reload of the configuration, graceful shutdown.
+
+The process owns the parts of the gateway and the order in which they start and stop; each part owns its
+sockets. All of it runs in one event loop.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import logging
+import signal
+from collections.abc import Mapping
+from dataclasses import replace
+
+from quota_gateway.network.bridge import Decisions, Gateway
+from quota_gateway.network.client_connection import Listener
+from quota_gateway.network.commands import Bounds, Catalogue
+from quota_gateway.network.config import ConfigError, GatewayConfig, load_config
+from quota_gateway.network.counter_client import Counter
+from quota_gateway.network.descriptors import allocate_descriptors
+from quota_gateway.network.discovery.watch import Discovery
+from quota_gateway.network.log_setup import log_event
+from quota_gateway.network.server_pool import Limits, Servers, idle_s
+from quota_gateway.policy.gateway import Gateway as Policy
+from quota_gateway.settings import NetworkSettings
+
+# A start waits this long for discovery's endpoint list before it serves by the cached one.
+FIRST_LIST_TIMEOUT_S = 0.3
+# After SIGTERM new connections go on coming for up to 0.4 s (PROTOCOL, Figures): the listener stays open.
+ACCEPT_AFTER_SIGTERM_S = 0.5
+# SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as 3 s where it is longer, and
+# 0.7 s more (PROTOCOL, Figures). `SHUTDOWN_MARGIN_S` before that, requests in flight get their final answer
+# and new ones are rejected.
+MAX_COUNTED_DEADLINE_S = 3.0
+KILL_AFTER_DEADLINE_S = 0.7
+SHUTDOWN_MARGIN_S = 0.5
+REPLY_FLUSH_TIMEOUT_S = 0.2  # for the last replies to leave
+DRAIN_CHECK_INTERVAL_S = 0.02
+# Garbage collection is needed seldom: what is loaded at the start lives as long as the process and is frozen.
+GC_THRESHOLDS = (20_000, 20, 20)
+
+log = logging.getLogger("quota_gateway")
+
+
+class GatewayProcess:
+    """One gateway process, from start to end.
+
+    `environ` is read again on a reload. `policy` replaces the gateway's own decisions, in tests.
+    """
+
+    def __init__(
+        self,
+        config: GatewayConfig,
+        loop: asyncio.AbstractEventLoop,
+        policy: Decisions | None = None,
+        environ: Mapping[str, str] | None = None,
+    ) -> None:
+        self.config = config
+        self.environ = environ or {}
+        self.loop = loop
+        settings = config.settings
+        descriptors = allocate_descriptors(config.max_sockets)
+        self.servers = Servers(loop, _server_limits(config.network, descriptors.servers))
+        self.counter = self._make_counter()
+        self.gateway = Gateway(loop, policy or Policy(settings, config.seed), self.servers, self.counter)
+        bounds = Bounds(config.network.max_request_units, config.network.max_deadline_ms)
+        self.listener = Listener(
+            loop, self.gateway, Catalogue(settings, bounds), descriptors.clients, descriptors.spare_clients
+        )
+        callers = settings.gateway_count if settings.watch_required else 0
+        self.discovery = Discovery(
+            loop,
+            config.discovery_address,
+            self.gateway.news,
+            config.seed,
+            callers,
+            settings.gateway_index,
+        )
+        self.stop_requested = asyncio.Event()
+
+    def _make_counter(self) -> Counter | None:
+        address = self.config.counter_address
+        if address is None:
+            return None
+        return Counter(self.loop, address, self.config.settings.counter_timeout_ms / 1000.0)
+
+    async def run(self, early_sighups: list[int]) -> None:
+        """Serve until SIGTERM or SIGINT, then shut down.
+
+        `early_sighups` holds the SIGHUPs that came before the loop ran. Raises OSError where the listen
+        address can't be bound.
+        """
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self.loop.add_signal_handler(signal_number, self.stop_requested.set)
+        self.loop.add_signal_handler(signal.SIGHUP, self.reload)
+        await self.start()
+        if early_sighups:
+            self.reload()
+        gc.collect()
+        gc.freeze()
+        gc.set_threshold(*GC_THRESHOLDS)
+        log_event(log, logging.INFO, "gateway_ready", name=self.config.name)
+        await self.stop_requested.wait()
+        await self.shut_down()
+        log_event(log, logging.INFO, "gateway_stopped", name=self.config.name)
+
+    async def start(self) -> None:
+        """Start the parts, the listener last; raises OSError where the listen address can't be bound.
+
+        The cached endpoint list may be old, so discovery gets a moment to send the present one; a discovery
+        that is down delays the start no longer than that.
+        """
+        cached = self.config.cached_endpoints
+        if cached is not None:
+            for _ in self.gateway.news(cached):
+                await asyncio.sleep(0)
+        self.discovery.start(cached.version if cached is not None else None)
+        await _wait_for_event(self.discovery.first, FIRST_LIST_TIMEOUT_S)
+        await self.listener.start(*self.config.listen_address)
+
+    def reload(self) -> None:
+        """Read the configuration again and follow its addresses; anything else waits for a restart.
+
+        A configuration that can't be used is logged, and the one in force stays.
+        """
+        try:
+            config = load_config(self.environ)
+        except ConfigError as error:
+            log_event(log, logging.ERROR, "config_reload_failed", error=error)
+            return
+        log_event(log, logging.INFO, "config_reloaded")
+        if self._needs_restart(config):
+            log_event(log, logging.WARNING, "config_change_needs_restart", applied="discovery,counter")
+        self.discovery.move(config.discovery_address)
+        if self.counter is not None and config.counter_address is not None:
+            self.counter.move(config.counter_address)
+        self.config = replace(
+            self.config,
+            discovery_address=config.discovery_address,
+            counter_address=config.counter_address,
+        )
+
+    def _needs_restart(self, config: GatewayConfig) -> bool:
+        """Return whether more has changed than a reload applies; cached endpoints and seed don't count."""
+        applied = replace(
+            config,
+            discovery_address=self.config.discovery_address,
+            counter_address=self.config.counter_address,
+            cached_endpoints=None,
+            seed=self.config.seed,
+        )
+        return applied != replace(self.config, cached_endpoints=None)
+
+    async def shut_down(self) -> None:
+        """Shut down gracefully, before the platform's SIGKILL.
+
+        New connections are accepted for a while and requests in flight completed; what is left at the end
+        gets its final answer, and all sockets are closed.
+        """
+        started_at = self.loop.time()
+        await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
+        self.listener.stop()
+        drain_end = started_at + drain_duration_s(self.config.network.max_deadline_ms)
+        await self._wait_for_clients(drain_end)
+        self.gateway.leave()
+        await self._wait_for_clients(max(drain_end, self.loop.time()) + REPLY_FLUSH_TIMEOUT_S)
+        await self.close()
+
+    async def _wait_for_clients(self, deadline: float) -> None:
+        """Wait until no client is connected, until `deadline` in the loop's time at most."""
+        while self.listener.clients and self.loop.time() < deadline:
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
+
+    async def close(self) -> None:
+        """Close all sockets."""
+        self.listener.close()
+        self.discovery.close()
+        if self.counter is not None:
+            self.counter.close()
+        self.servers.close()
+        await asyncio.sleep(0)
+
+
+def drain_duration_s(max_deadline_ms: float) -> float:
+    """Return for how many seconds after SIGTERM requests are carried out, by the longest deadline."""
+    deadline_s = min(MAX_COUNTED_DEADLINE_S, max_deadline_ms / 1000.0)
+    return deadline_s + KILL_AFTER_DEADLINE_S - SHUTDOWN_MARGIN_S
+
+
+def _server_limits(network: NetworkSettings, max_connections: int) -> Limits:
+    return Limits(
+        connect_s=network.connect_timeout_ms / 1000.0,
+        idle_s=idle_s(network.connection_idle_ms / 1000.0),
+        grace_s=network.drain_grace_ms / 1000.0,
+        connections=max_connections,
+    )
+
+
+async def _wait_for_event(event: asyncio.Event, timeout_s: float) -> None:
+    try:
+        await asyncio.wait_for(event.wait(), timeout_s)
+    except TimeoutError:
+        return
--- a/quota_gateway/settings.py
+++ b/quota_gateway/settings.py
@@ -1,7 +1,10 @@
 """The settings of one gateway, decoded once for every program that needs them.
 
 The operators' pages name the keys of the settings object (WIRE, section 8); the mapping from those names to
-this program's stands in `decode_settings` and nowhere else.
+this program's stands in this module and nowhere else. `decode_settings` gives what the policy decides by;
+`decode_network_settings` gives the bounds that the gateway on sockets keeps besides. Unknown keys are
+ignored, missing ones and null get defaults, and a value of the wrong type raises `SettingsError`, which names
+its key.
 """
 
 from __future__ import annotations
@@ -12,6 +15,15 @@
 from typing import Any
 
 
+class SettingsError(ValueError):
+    """A settings object that can't be used; `key` is the path of the offending value."""
+
+    def __init__(self, key: str, problem: str) -> None:
+        super().__init__(f"{key}: {problem}")
+        self.key = key
+        self.problem = problem
+
+
 class Idempotency(Enum):
     """Whether a request may be carried out more than once."""
 
@@ -87,6 +99,17 @@
     gateway_index: int = 0  # of this gateway among them, from 0
 
 
+@dataclass(frozen=True, slots=True)
+class NetworkSettings:
+    """The settings that only a gateway on sockets needs."""
+
+    connect_timeout_ms: float  # to a server
+    connection_idle_ms: float  # servers close a connection that has been idle for this long
+    drain_grace_ms: float  # a draining server takes requests for this long after it was listed so
+    max_request_units: float
+    max_deadline_ms: float  # longer deadlines are cut to this, so that none holds a slot for minutes
+
+
 IDEMPOTENCY_NAMES = {
     "read_like": Idempotency.IDEMPOTENT,
     "idempotency_key": Idempotency.KEYED,
@@ -99,76 +122,155 @@
 }
 
 
+# Defaults of `NetworkSettings`, for keys that the settings leave out (WIRE, section 8).
+DEFAULT_CONNECT_TIMEOUT_MS = 250.0
+DEFAULT_CONNECTION_IDLE_MS = 15_000.0
+DEFAULT_DRAIN_GRACE_MS = 250.0
+DEFAULT_MAX_REQUEST_UNITS = 1e6
+DEFAULT_MAX_DEADLINE_MS = 60_000.0
+
+
 def number_or(value: Any, default: float = 0.0) -> float:
-    """Return a number, or the default where there is none."""
+    """Return a number, or the default for null and booleans; ValueError or TypeError for anything else."""
     return default if value is None or isinstance(value, bool) else float(value)
 
 
-def decode_settings(raw: Mapping[str, Any]) -> Settings:
-    """Decode the settings object; unknown keys are ignored, missing ones get the safest reading."""
+class _Section:
+    """One object of the settings, read key by key."""
+
+    def __init__(self, values: Mapping[str, Any], path: str = "") -> None:
+        self.values = values
+        self.path = path
+
+    def key_path(self, key: str) -> str:
+        return f"{self.path}.{key}" if self.path else key
+
+    def text(self, key: str) -> str:
+        return str(self.values.get(key))
+
+    def flag(self, key: str) -> bool:
+        return bool(self.values.get(key))
 
-    def section(key: str) -> dict[str, Any]:
-        found = raw.get(key)
-        return found if isinstance(found, dict) else {}
+    def number(self, key: str, default: float = 0.0) -> float:
+        value = self.values.get(key)
+        try:
+            return number_or(value, default)
+        except (TypeError, ValueError):
+            raise SettingsError(self.key_path(key), f"not a number: {value!r}") from None
 
-    def rows(key: str) -> list[dict[str, Any]]:
-        found = raw.get(key)
-        return [row for row in found if isinstance(row, dict)] if isinstance(found, list) else []
+    def integer(self, key: str, default: float = 0.0) -> int:
+        number = self.number(key, default)
+        try:
+            return int(number)
+        except ValueError:
+            raise SettingsError(self.key_path(key), f"not a number: {number!r}") from None
 
-    limits, safety, domain, prices = (
-        section("limits"),
-        section("safety"),
-        section("domain"),
-        section("prices"),
+    def section(self, key: str) -> _Section:
+        """Return a nested object; an empty one where the value is none."""
+        value = self.values.get(key)
+        return _Section(value if isinstance(value, dict) else {}, self.key_path(key))
+
+    def rows(self, key: str) -> list[_Section]:
+        """Return the objects of an array, passing over anything else."""
+        value = self.values.get(key)
+        rows = value if isinstance(value, list) else []
+        return [
+            _Section(row, f"{self.key_path(key)}[{index}]")
+            for index, row in enumerate(rows)
+            if isinstance(row, dict)
+        ]
+
+
+def decode_settings(raw: Mapping[str, Any]) -> Settings:
+    """Decode what the policy decides by; missing keys get the safest reading."""
+    settings = _Section(raw)
+    limits = settings.section("limits")
+    domain = settings.section("domain")
+    retry_after_allowed = limits.flag("retry_after")
+    return Settings(
+        zone=settings.text("my_zone"),
+        gateway_count=max(1, settings.integer("balancers", 1)),
+        gateway_index=max(0, settings.integer("me")),
+        classes=tuple(_decode_class(row) for row in settings.rows("profiles")),
+        plans=tuple(_decode_plan(row) for row in settings.rows("packages")),
+        slow_start=_decode_slow_start(settings.section("safety")),
+        max_attempts=limits.integer("attempts_cap", 1),
+        max_pending_requests=limits.integer("max_open", 20000),
+        max_retry_after_ms=limits.number("max_retry_after_ms") if retry_after_allowed else 0.0,
+        counter_enabled=domain.flag("counter"),
+        counter_timeout_ms=domain.number("counter_timeout_ms", 50.0),
+        watch_required=raw.get("membership_mode") == "subscribe",
+        endpoint_weights_known=raw.get("weight_kind") in ("nominal", "rough"),
+        cross_zone_cost=settings.section("prices").number("cross_zone"),
     )
-    classes = tuple(
-        RequestClass(
-            name=str(row.get("name")),
-            latency_objective_ms=number_or(row.get("aim_ms"), number_or(row.get("hard_limit_ms"), 1000.0)),
-            priority_weight=number_or(row.get("importance"), 1.0),
-            idempotency=IDEMPOTENCY_NAMES.get(str(row.get("repeat")), Idempotency.NON_IDEMPOTENT),
-            deduplication_scope=SCOPE_NAMES.get(str(row.get("group")), DeduplicationScope.CELL),
-            deduplication_window_ms=number_or(row.get("memory_span_ms")),
-            late_weight=number_or(row.get("late_worth")),
-        )
-        for row in rows("profiles")
+
+
+def _decode_class(row: _Section) -> RequestClass:
+    return RequestClass(
+        name=row.text("name"),
+        latency_objective_ms=row.number("aim_ms", row.number("hard_limit_ms", 1000.0)),
+        priority_weight=row.number("importance", 1.0),
+        idempotency=IDEMPOTENCY_NAMES.get(row.text("repeat"), Idempotency.NON_IDEMPOTENT),
+        deduplication_scope=SCOPE_NAMES.get(row.text("group"), DeduplicationScope.CELL),
+        deduplication_window_ms=row.number("memory_span_ms"),
+        late_weight=row.number("late_worth"),
     )
-    plans = tuple(
-        Plan(
-            name=str(row.get("name")),
-            price=number_or(row.get("price"), 1.0),
-            rate=number_or(row.get("per_second")),
-            burst=number_or(row.get("most_at_once")),
-            max_in_flight=int(number_or(row.get("max_out"))),
-            hard_limit_rate=number_or(row.get("ceiling_rate")),
-            hard_limit_burst=number_or(row.get("hard_burst")),
-            hard_limit_slack=number_or(row.get("ceiling_slack")),
-            over_quota_weight=number_or(row.get("excess_worth")),
-            over_quota_cost=number_or(row.get("beyond_costs")),
-        )
-        for row in rows("packages")
+
+
+def _decode_plan(row: _Section) -> Plan:
+    return Plan(
+        name=row.text("name"),
+        price=row.number("price", 1.0),
+        rate=row.number("per_second"),
+        burst=row.number("most_at_once"),
+        max_in_flight=row.integer("max_out"),
+        hard_limit_rate=row.number("ceiling_rate"),
+        hard_limit_burst=row.number("hard_burst"),
+        hard_limit_slack=row.number("ceiling_slack"),
+        over_quota_weight=row.number("excess_worth"),
+        over_quota_cost=row.number("beyond_costs"),
     )
+
+
+def _decode_slow_start(safety: _Section) -> SlowStartSettings:
     defaults = SlowStartSettings()
-    slow_start = SlowStartSettings(
-        initial_capacity_share=number_or(safety.get("cold_from"), defaults.initial_capacity_share),
-        warm_up_ms=number_or(safety.get("warm_after_ms"), defaults.warm_up_ms),
-        overload_factor=number_or(safety.get("overload_factor"), defaults.overload_factor),
-        overload_window_ms=number_or(safety.get("fall_ms"), defaults.overload_window_ms),
+    return SlowStartSettings(
+        initial_capacity_share=safety.number("cold_from", defaults.initial_capacity_share),
+        warm_up_ms=safety.number("warm_after_ms", defaults.warm_up_ms),
+        overload_factor=safety.number("overload_factor", defaults.overload_factor),
+        overload_window_ms=safety.number("fall_ms", defaults.overload_window_ms),
     )
-    retry_after_allowed = bool(limits.get("retry_after"))
-    return Settings(
-        zone=str(raw.get("my_zone")),
-        gateway_count=max(1, int(number_or(raw.get("balancers"), 1))),
-        gateway_index=max(0, int(number_or(raw.get("me"), 0))),
-        classes=classes,
-        plans=plans,
-        slow_start=slow_start,
-        max_attempts=int(number_or(limits.get("attempts_cap"), 1)),
-        max_pending_requests=int(number_or(limits.get("max_open"), 20000)),
-        max_retry_after_ms=number_or(limits.get("max_retry_after_ms")) if retry_after_allowed else 0.0,
-        counter_enabled=bool(domain.get("counter")),
-        counter_timeout_ms=number_or(domain.get("counter_timeout_ms"), 50.0),
-        watch_required=raw.get("membership_mode") == "subscribe",
-        endpoint_weights_known=raw.get("weight_kind") in ("nominal", "rough"),
-        cross_zone_cost=number_or(prices.get("cross_zone")),
+
+
+def decode_network_settings(raw: Mapping[str, Any]) -> NetworkSettings:
+    """Decode the settings of the gateway on sockets.
+
+    Stricter than `decode_settings`: every item of `profiles` has to be an object, and so has `domain`.
+    """
+    settings = _Section(raw)
+    domain = raw.get("domain") or {}
+    if not isinstance(domain, dict):
+        raise SettingsError("domain", "not an object")
+    limits = settings.section("limits")
+    max_units = _Section(domain, "domain").number("max_units")
+    return NetworkSettings(
+        connect_timeout_ms=limits.number("connect_timeout_ms", DEFAULT_CONNECT_TIMEOUT_MS),
+        connection_idle_ms=limits.number("conn_idle_ms", DEFAULT_CONNECTION_IDLE_MS),
+        drain_grace_ms=settings.section("safety").number("drain_grace_ms", DEFAULT_DRAIN_GRACE_MS),
+        max_request_units=max_units or DEFAULT_MAX_REQUEST_UNITS,
+        max_deadline_ms=_decode_max_deadline_ms(raw),
     )
+
+
+def _decode_max_deadline_ms(raw: Mapping[str, Any]) -> float:
+    """Return the longest hard limit of the classes, or the default unless all of them have one."""
+    rows = raw.get("profiles")
+    if not isinstance(rows, list):
+        raise SettingsError("profiles", "not an array")
+    deadlines = []
+    for index, row in enumerate(rows):
+        path = f"profiles[{index}]"
+        if not isinstance(row, dict):
+            raise SettingsError(path, "not an object")
+        deadlines.append(_Section(row, path).number("hard_limit_ms"))
+    return max(deadlines) if deadlines and min(deadlines) > 0 else DEFAULT_MAX_DEADLINE_MS
--- a/tests/network/harness.py
+++ b/tests/network/harness.py
@@ -15,8 +15,9 @@
 import hiredis
 import uvloop
 
-from quota_gateway.network.__main__ import Config, Program, build
 from quota_gateway.network.bridge import Decisions
+from quota_gateway.network.config import GatewayConfig, decode_config
+from quota_gateway.network.process import GatewayProcess
 from quota_gateway.policy_api.actions import Action, Fail, StartAttempt
 from quota_gateway.policy_api.events import AttemptCompleted, Event, Request
 
@@ -254,7 +255,9 @@
 class RunningGateway:
     """A gateway with its peers."""
 
-    def __init__(self, program: Program, servers: list[FakeRespServer], counter: FakeRespServer) -> None:
+    def __init__(
+        self, program: GatewayProcess, servers: list[FakeRespServer], counter: FakeRespServer
+    ) -> None:
         self.program, self.servers, self.counter = program, servers, counter
 
     @property
@@ -281,10 +284,10 @@
     }
 
 
-def gateway_config(discovery: int, counter: int, rows: list[dict[str, Any]], **changes: Any) -> Config:
+def gateway_config(discovery: int, counter: int, rows: list[dict[str, Any]], **changes: Any) -> GatewayConfig:
     """The same, read; the gateway listens on a free port."""
-    made = build(raw_config(discovery, counter, rows), {})
-    return replace(made, listen=("127.0.0.1", 0), **changes)
+    made = decode_config(raw_config(discovery, counter, rows), {})
+    return replace(made, listen_address=("127.0.0.1", 0), **changes)
 
 
 @asynccontextmanager
@@ -313,7 +316,7 @@
     discovery = discovery or FakeDiscovery(endpoint_list_response(1, rows))
     await discovery.start()
     made = gateway_config(discovery.port, counts.port, rows, **changes)
-    program = Program(made, asyncio.get_running_loop(), policy)
+    program = GatewayProcess(made, asyncio.get_running_loop(), policy)
     await program.start()
     if program.counter is not None:
         await wait_until(
--- a/tests/network/test_client_connection.py
+++ b/tests/network/test_client_connection.py
@@ -274,7 +274,7 @@
 
 def test_past_the_limit_an_idle_connection_makes_room() -> None:
     async def scenario() -> None:
-        async with running_gateway(always_reply(None), sockets=64) as one:
+        async with running_gateway(always_reply(None), max_sockets=64) as one:
             one.program.listener.most = 2
             busy, idle = await one.connect_client(), await one.connect_client()
             assert await idle.execute(b"PING") == b"PONG"
--- /dev/null
+++ b/tests/network/test_config.py
@@ -0,0 +1,92 @@
+"""The configuration file: defaults, variables of the environment, and errors that name the key."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from quota_gateway.network.config import (
+    DEFAULT_MAX_SOCKETS,
+    ConfigFileError,
+    ConfigValueError,
+    decode_config,
+    load_config,
+)
+from quota_gateway.policy_api.endpoints import UpdateKind
+from tests.network.harness import SETTINGS, raw_config, server_row
+
+
+def test_a_whole_file_is_decoded() -> None:
+    config = decode_config(raw_config(5, 6, [server_row("s0", 7)], 8), {})
+    assert config.name == "n0"
+    assert config.listen_address == ("127.0.0.1", 8)
+    assert config.discovery_address == ("127.0.0.1", 5)
+    assert config.counter_address == ("127.0.0.1", 6)
+    assert config.seed == 0x8C1F30D27A5BE964
+    assert config.max_sockets == 1024
+    assert config.cached_endpoints is not None
+    assert config.cached_endpoints.version == 1
+    assert config.cached_endpoints.event.kind is UpdateKind.CACHED_SNAPSHOT
+
+
+def test_variables_count_where_the_file_is_silent() -> None:
+    environ = {"EDGE_NAME": "n7", "EDGE_LISTEN": "10.0.0.1:1", "EDGE_DISCOVERY": "10.0.0.2:2"}
+    config = decode_config({"settings": SETTINGS}, environ)
+    assert config.name == "n7"
+    assert config.listen_address == ("10.0.0.1", 1)
+    assert config.discovery_address == ("10.0.0.2", 2)
+    assert config.counter_address is None
+    assert config.seed == 0
+    assert config.max_sockets == DEFAULT_MAX_SOCKETS
+    assert config.cached_endpoints is None
+    assert decode_config(raw_config(5, 6, []), environ).name == "n0"
+
+
+def test_a_counter_that_the_settings_do_not_allow_is_left_out() -> None:
+    raw = raw_config(5, 6, []) | {"settings": SETTINGS | {"domain": {"counter": False}}}
+    assert decode_config(raw, {}).counter_address is None
+
+
+@pytest.mark.parametrize(
+    ("key", "change"),
+    [
+        ("listen", {"listen": "nowhere"}),
+        ("discovery", {"discovery": "127.0.0.1:99999"}),
+        ("counter", {"counter": 5}),
+        ("seed", {"seed": "xyz"}),
+        ("limits.sockets", {"limits": {"sockets": 63}}),
+        ("limits.sockets", {"limits": {"sockets": []}}),
+        ("known", {"known": {"version": 1}}),
+        ("known", {"known": [1]}),
+        ("settings.profiles", {"settings": SETTINGS | {"profiles": []}}),
+        ("settings.packages", {"settings": SETTINGS | {"packages": None}}),
+        ("settings.packages[0].per_second", {"settings": SETTINGS | {"packages": [{"per_second": "x"}]}}),
+        ("settings.limits.conn_idle_ms", {"settings": SETTINGS | {"limits": {"conn_idle_ms": []}}}),
+        ("settings.profiles[1]", {"settings": SETTINGS | {"profiles": [{"name": "read"}, None]}}),
+        ("settings.domain", {"settings": SETTINGS | {"domain": 5}}),
+    ],
+)
+def test_an_error_names_the_key_and_the_file(tmp_path: Path, key: str, change: dict[str, Any]) -> None:
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(raw_config(5, 6, []) | change))
+    with pytest.raises(ConfigValueError) as caught:
+        load_config({"EDGE_CONFIG": str(path)})
+    assert caught.value.key == key
+    assert str(caught.value).startswith(f"bad configuration in {path}: {key}: ")
+    assert "\n" not in str(caught.value)
+
+
+@pytest.mark.parametrize("text", ["", "{", "[]", "{}", '{"settings":5}'])
+def test_a_file_without_settings_is_named(tmp_path: Path, text: str) -> None:
+    path = tmp_path / "config.json"
+    path.write_text(text)
+    with pytest.raises(ConfigFileError, match=str(path)):
+        load_config({"EDGE_CONFIG": str(path)})
+
+
+def test_no_file_at_all_is_said() -> None:
+    with pytest.raises(ConfigFileError, match="EDGE_CONFIG is not set"):
+        load_config({})
--- a/tests/network/test_descriptors.py
+++ b/tests/network/test_descriptors.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from quota_gateway.network.__main__ import RESERVED, budget
 from quota_gateway.network.counter_client import LINKS
+from quota_gateway.network.descriptors import RESERVED_DESCRIPTORS, allocate_descriptors
 from tests.network.harness import (
     CUSTOMER,
     OK_RESPONSE,
@@ -84,7 +84,7 @@
             await discovery.start(discovery_port)
             await wait_until(lambda: len(discovery.targets) == 2)  # the list was read, and a watch is open
             good = await RespClient.connect(listen)
-            most = min(budget(sockets).servers, 24)  # more at once the module holds for a surge
+            most = min(allocate_descriptors(sockets).servers, 24)  # more at once the module holds for a surge
             for number in range(most):
                 good.send(b"CALL.GET", CUSTOMER, b"%d" % number, READ_FIELDS)
             await wait_until(lambda: len(server.received_commands()) == most)
@@ -106,7 +106,7 @@
 
 @pytest.mark.parametrize("sockets", [64, 100, 256, 672, 1024, 4096])
 def test_no_more_is_shared_out_than_there_is(sockets: int) -> None:
-    shares = budget(sockets)
+    shares = allocate_descriptors(sockets)
     assert shares.servers >= 4
     assert shares.clients >= 4
-    assert RESERVED + shares.servers + shares.clients + shares.spare <= sockets
+    assert RESERVED_DESCRIPTORS + shares.servers + shares.clients + shares.spare_clients <= sockets
--- a/tests/network/test_ending.py
+++ b/tests/network/test_ending.py
@@ -10,8 +10,8 @@
 
 from quota_gateway.network import client_connection as clients_module
 from quota_gateway.network import server_pool as servers_module
-from quota_gateway.network.__main__ import leave_s
 from quota_gateway.network.client_connection import MOST_PENDING
+from quota_gateway.network.process import drain_duration_s
 from tests.network.harness import (
     CUSTOMER,
     OK_RESPONSE,
@@ -54,7 +54,7 @@
                 )
             )
             server = one.program.listener.server
-            leaving = asyncio.ensure_future(one.program.leave())
+            leaving = asyncio.ensure_future(one.program.shut_down())
             await wait_until(lambda: server is not None and not server.is_serving())
             client.send(
                 b"CALL.GET", CUSTOMER, b"2", READ_FIELDS
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize(("longest_ms", "end_s"), [(400.0, 0.6), (1000.0, 1.2), (2500.0, 2.7), (9000.0, 3.2)])
 def test_a_gateway_has_left_before_the_kill_that_its_deadlines_allow(longest_ms: float, end_s: float) -> None:
-    assert leave_s(longest_ms) == pytest.approx(end_s)
+    assert drain_duration_s(longest_ms) == pytest.approx(end_s)
 
 
 def test_a_request_that_crosses_the_close_of_an_idle_connection_is_served() -> None:
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -25,7 +25,6 @@
     WatchEndpoints,
 )
 from quota_gateway.policy_api.events import Event
-from quota_gateway.settings import Idempotency, decode_settings
 from quota_gateway.simulator_adapter import Host, WireError, encode, serve
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -125,15 +124,6 @@
     assert [encode(1, action) for action, _ in made] == [wire for _, wire in made]
 
 
-def test_missing_settings_get_the_safest_reading() -> None:
-    bare = decode_settings({"profiles": [{"name": "x"}, None], "packages": None, "limits": None})
-    assert bare.classes[0].idempotency is Idempotency.NON_IDEMPOTENT
-    assert bare.max_attempts == 1
-    assert bare.gateway_count == 1
-    assert not bare.counter_enabled
-    assert bare.plans == ()
-
-
 @pytest.mark.parametrize(
     "text",
     [
