--- a/quota_gateway/lab/scaling/capacity.py
+++ b/quota_gateway/lab/scaling/capacity.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from quota_gateway.lab.simulation.experiment import Count, Part, Positive, Problem, Share
-from quota_gateway.network.discovery.watch import WAIT_S
+from quota_gateway.network.discovery.poll_schedule import LONG_POLL_S
 from quota_gateway.policy.gateway import IDLE_MS, SUBSET, TICK_MS
 
 DAY_S = 86_400.0
@@ -292,7 +292,7 @@
     def discovery(self) -> list[Line]:
         """Discovery, and what a gateway hears of it."""
         size, limits, at = self.size, self.limits, self.slopes.at
-        watch = self.slopes.at("an idle watch: call and answer", 1) + ACKED / WAIT_S
+        watch = self.slopes.at("an idle watch: call and answer", 1) + ACKED / LONG_POLL_S
         release = self.bytes_of_changes(self.releases())
         whole = at("whole list", size.servers)
         read = at("whole list read from JSON", size.servers)
@@ -301,7 +301,7 @@
             Line(
                 "discovery",
                 "watches without news, all gateways",
-                size.gateways / WAIT_S,
+                size.gateways / LONG_POLL_S,
                 "/s",
                 None,
                 "long watches of one agent a machine",
--- a/quota_gateway/network/bridge.py
+++ b/quota_gateway/network/bridge.py
@@ -20,7 +20,7 @@
 from quota_gateway.logfmt import format_event
 from quota_gateway.network import resp
 from quota_gateway.network.counter_client import Counter
-from quota_gateway.network.discovery.watch import News
+from quota_gateway.network.discovery.endpoint_list import VersionedUpdate
 from quota_gateway.network.server_pool import Attempt, Result, Servers
 from quota_gateway.policy_api.actions import (
     Action,
@@ -206,10 +206,10 @@
         """The client's time is up and the module has not answered: the gateway does."""
         self.close_request(ref)
 
-    def news(self, news: News) -> Iterator[None]:
+    def news(self, news: VersionedUpdate) -> Iterator[None]:
         """The list changed. One of many servers is taken in by pieces, what is gone or drains first; other
         work may be done between them."""
-        for piece in split_update(news.event, list(self.servers.pools)):
+        for piece in split_update(news.update, list(self.servers.pools)):
             self.changed(piece, news.addresses)
             yield
 
--- a/quota_gateway/network/config.py
+++ b/quota_gateway/network/config.py
@@ -12,7 +12,7 @@
 from typing import Any, TypeVar
 
 from quota_gateway.network.address import Address, parse_address
-from quota_gateway.network.discovery.watch import News, read_list
+from quota_gateway.network.discovery.endpoint_list import VersionedUpdate, parse_endpoint_list
 from quota_gateway.settings import (
     NetworkSettings,
     Settings,
@@ -56,7 +56,7 @@
     counter_address: Address | None
     seed: int
     max_sockets: int
-    cached_endpoints: News | None  # the endpoint list of before the start
+    cached_endpoints: VersionedUpdate | None  # the endpoint list of before the start
     settings: Settings
     network: NetworkSettings
 
@@ -142,5 +142,5 @@
     return max_sockets
 
 
-def _parse_cached_endpoints(value: Any) -> News:
-    return read_list(value, saved=True)
+def _parse_cached_endpoints(value: Any) -> VersionedUpdate:
+    return parse_endpoint_list(value, cached=True)
--- a/quota_gateway/network/process.py
+++ b/quota_gateway/network/process.py
@@ -19,7 +19,8 @@
 from quota_gateway.network.config import ConfigError, GatewayConfig, load_config
 from quota_gateway.network.counter_client import Counter
 from quota_gateway.network.descriptors import allocate_descriptors
-from quota_gateway.network.discovery.watch import Discovery
+from quota_gateway.network.discovery.poll_schedule import PollSchedule
+from quota_gateway.network.discovery.watch import EndpointWatch
 from quota_gateway.network.log_setup import log_event
 from quota_gateway.network.server_pool import Limits, Servers, idle_s
 from quota_gateway.policy.gateway import Gateway as Policy
@@ -68,17 +69,15 @@
         self.listener = Listener(
             loop, self.gateway, Catalogue(settings, bounds), descriptors.clients, descriptors.spare_clients
         )
-        callers = settings.gateway_count if settings.watch_required else 0
-        self.discovery = Discovery(
-            loop,
-            config.discovery_address,
-            self.gateway.news,
-            config.seed,
-            callers,
-            settings.gateway_index,
-        )
+        self.endpoint_watch = self._make_endpoint_watch()
         self.stop_requested = asyncio.Event()
 
+    def _make_endpoint_watch(self) -> EndpointWatch:
+        settings = self.config.settings
+        sharing_gateways = settings.gateway_count if settings.watch_required else 0
+        schedule = PollSchedule(self.loop.time, self.config.seed, sharing_gateways, settings.gateway_index)
+        return EndpointWatch(self.loop, self.config.discovery_address, self.gateway.news, schedule)
+
     def _make_counter(self) -> Counter | None:
         address = self.config.counter_address
         if address is None:
@@ -115,8 +114,8 @@
         if cached is not None:
             for _ in self.gateway.news(cached):
                 await asyncio.sleep(0)
-        self.discovery.start(cached.version if cached is not None else None)
-        await _wait_for_event(self.discovery.first, FIRST_LIST_TIMEOUT_S)
+        self.endpoint_watch.start(cached.version if cached is not None else None)
+        await _wait_for_event(self.endpoint_watch.first_response, FIRST_LIST_TIMEOUT_S)
         await self.listener.start(*self.config.listen_address)
 
     def reload(self) -> None:
@@ -132,7 +131,7 @@
         log_event(log, logging.INFO, "config_reloaded")
         if self._needs_restart(config):
             log_event(log, logging.WARNING, "config_change_needs_restart", applied="discovery,counter")
-        self.discovery.move(config.discovery_address)
+        self.endpoint_watch.move_to(config.discovery_address)
         if self.counter is not None and config.counter_address is not None:
             self.counter.move(config.counter_address)
         self.config = replace(
@@ -175,7 +174,7 @@
     async def close(self) -> None:
         """Close all sockets."""
         self.listener.close()
-        self.discovery.close()
+        self.endpoint_watch.close()
         if self.counter is not None:
             self.counter.close()
         self.servers.close()
--- /dev/null
+++ b/tests/network/simulated_discovery.py
@@ -0,0 +1,146 @@
+"""A discovery on a simulated clock, whose polls end as a test says, and a real watch on it."""
+
+from __future__ import annotations
+
+import asyncio
+import heapq
+import itertools
+from collections.abc import Callable, Coroutine
+from typing import Any, cast
+from urllib.parse import parse_qs, urlsplit
+
+from quota_gateway.network.discovery.http_connection import HttpConnection
+from quota_gateway.network.discovery.poll_schedule import PollSchedule
+from quota_gateway.network.discovery.watch import EndpointWatch
+
+ADDRESS = ("127.0.0.1", 1)
+
+
+class ScheduledCall:
+    """A call that may be cancelled."""
+
+    def __init__(self, callback: Callable[..., None], args: tuple[Any, ...]) -> None:
+        self.callback, self.args, self.cancelled = callback, args, False
+
+    def cancel(self) -> None:
+        self.cancelled = True
+
+
+class SimulatedLoop:
+    """A loop whose clock jumps from one scheduled call to the next."""
+
+    def __init__(self) -> None:
+        self.now = 0.0
+        self.serial = itertools.count()
+        self.heap: list[tuple[float, int, ScheduledCall]] = []
+
+    def time(self) -> float:
+        return self.now
+
+    def call_later(self, delay: float, callback: Callable[..., None], *args: Any) -> ScheduledCall:
+        call = ScheduledCall(callback, args)
+        heapq.heappush(self.heap, (self.now + delay, next(self.serial), call))
+        return call
+
+    def create_task(self, connect: Coroutine[Any, Any, None]) -> ScheduledCall:
+        connect.close()  # the test stands in for the connection: see `SimulatedWatch`
+        return ScheduledCall(lambda: None, ())
+
+    def run(self, until_s: float) -> None:
+        while self.heap and self.heap[0][0] <= until_s:
+            self.now, _, call = heapq.heappop(self.heap)
+            if not call.cancelled:
+                call.callback(*call.args)
+        self.now = until_s
+
+
+class SimulatedConnection:
+    """One connection to the discovery."""
+
+    def __init__(self, discovery: SimulatedDiscovery) -> None:
+        self.discovery, self.alive = discovery, True
+
+    def is_idle(self) -> bool:
+        return self.alive
+
+    def abort(self) -> None:
+        if self.alive:
+            self.alive = False
+            self.discovery.loop.call_later(0.0, self.discovery.watch.on_connection_closed, self)
+
+    def respond(self, status: int, body: bytes) -> None:
+        if self.alive:
+            self.discovery.watch.on_response(cast(HttpConnection, self), status, body)
+
+    def get(self, host: str, target: str) -> None:
+        self.discovery.handle_poll(self, target)
+
+
+class SimulatedWatch(EndpointWatch):
+    """The real watch, with a simulated connection in place of a socket."""
+
+    discovery: SimulatedDiscovery
+
+    def start(self, version: int | None = None) -> None:
+        super().start(version)
+        self.discovery.loop.call_later(0.001, self.connected)
+
+    def connected(self) -> None:
+        if self.discovery.refuse_connection():
+            connection = SimulatedConnection(self.discovery)
+            self.connection = cast(HttpConnection, connection)
+            connection.abort()
+            return
+        self.connection = cast(HttpConnection, SimulatedConnection(self.discovery))
+        self.poll()
+
+
+class SimulatedDiscovery:
+    """A discovery whose polls fail now and then, and the moments at which the list was confirmed.
+
+    `outcomes` are those of the polls, in order; "good" afterwards.
+    """
+
+    def __init__(self, outcomes: list[str], sharing_gateways: int, gateway_index: int) -> None:
+        self.loop = SimulatedLoop()
+        self.outcomes = outcomes
+        self.polled_at: list[float] = []
+        self.confirmed_at: list[float] = []
+        schedule = PollSchedule(self.loop.time, gateway_index, sharing_gateways, gateway_index)
+        loop = cast(asyncio.AbstractEventLoop, self.loop)
+        self.watch = SimulatedWatch(loop, ADDRESS, lambda update: (), schedule)
+        self.watch.discovery = self
+        self.watch.start(1)
+
+    def refuse_connection(self) -> bool:
+        """Whether the connection that a poll would have gone over is refused."""
+        if self.outcomes[:1] != ["refused"]:
+            return False
+        self.outcomes.pop(0)
+        self.polled_at.append(self.loop.now)
+        return True
+
+    def handle_poll(self, connection: SimulatedConnection, target: str) -> None:
+        """Ends a poll as its outcome says; "silent" is none of the cases."""
+        self.polled_at.append(self.loop.now)
+        query = parse_qs(urlsplit(target).query)
+        wait = float(query["timeout_ms"][0]) / 1000.0 if query else 0.0
+        outcome = self.outcomes.pop(0) if self.outcomes else "good"
+        later = self.loop.call_later
+        match outcome:
+            case "good":
+                full = b"false" if query else b"true"
+                later(wait + 0.01, self.confirm, connection, b'{"version":1,"full":%b,"servers":[]}' % full)
+            case "busy":
+                later(0.004, connection.respond, 503, b"")
+            case "malformed":
+                later(0.004, connection.respond, 200, b"{")
+            case "failing":
+                later(0.004, connection.respond, 500, b"")
+            case "reset" | "refused" | "truncated":  # a truncated body ends with the connection
+                later(0.02, connection.abort)
+
+    def confirm(self, connection: SimulatedConnection, body: bytes) -> None:
+        if connection.alive:
+            self.confirmed_at.append(self.loop.now)
+            connection.respond(200, body)
--- /dev/null
+++ b/tests/network/test_endpoint_list.py
@@ -0,0 +1,161 @@
+"""Both parsers of the endpoint list; a long one is parsed and applied in steps, between other work."""
+
+from __future__ import annotations
+
+import asyncio
+import itertools
+import json
+import random
+from typing import Any
+
+import pytest
+
+from quota_gateway.network.discovery.endpoint_list import (
+    ENDPOINTS_PER_STEP,
+    INCREMENTAL_PARSE_MIN_BYTES,
+    EndpointListError,
+    IncrementalListParser,
+    VersionedUpdate,
+    parse_endpoint_list,
+)
+from quota_gateway.policy_api.endpoints import EndpointUpdate
+from tests.network.harness import (
+    CUSTOMER,
+    OK_RESPONSE,
+    READ_FIELDS,
+    FakeDiscovery,
+    ScriptedPolicy,
+    always_reply,
+    forward_to,
+    http_response,
+    run_scenario,
+    running_gateway,
+    server_row,
+    wait_until,
+)
+
+ENDPOINT_COUNT = 20_000
+
+
+def server_rows(count: int) -> list[dict[str, Any]]:
+    states = ["Ready"] * 8 + ["Terminating", "Strange"]
+    return [server_row(f"s-{i:08x}", 1 + i % 60_000, states[i % 10], float(i % 3)) for i in range(count)]
+
+
+def parse_in_steps(body: bytes) -> VersionedUpdate:
+    parser = IncrementalListParser(body)
+    for _ in parser.steps():
+        pass
+    return parser.result()
+
+
+@pytest.mark.parametrize("indent", [None, 2])
+@pytest.mark.parametrize("count", [0, 1, ENDPOINTS_PER_STEP, ENDPOINTS_PER_STEP + 1, 1000])
+def test_both_parsers_give_the_same_update(count: int, indent: int | None) -> None:
+    raw = {"version": 7, "full": True, "servers": server_rows(count), "more": {"x": [1, "]"]}}
+    for names in itertools.permutations(raw):
+        text = json.dumps({name: raw[name] for name in names}, indent=indent)
+        assert parse_in_steps(text.encode()) == parse_endpoint_list(raw)
+
+
+def test_no_step_parses_more_than_a_few_endpoints() -> None:
+    parser = IncrementalListParser(
+        json.dumps({"version": 7, "full": False, "servers": server_rows(ENDPOINT_COUNT)}).encode()
+    )
+    lengths = [0, *(parser.parsed_endpoints for _ in parser.steps()), parser.parsed_endpoints]
+    assert max(b - a for a, b in itertools.pairwise(lengths)) <= ENDPOINTS_PER_STEP
+    assert lengths[-1] == ENDPOINT_COUNT
+
+
+def test_a_list_that_is_malformed_anywhere_is_rejected() -> None:
+    body = json.dumps({"version": 7, "full": True, "servers": server_rows(30)}).encode()
+    rng = random.Random(1)
+    for _ in range(300):
+        cut = rng.randrange(len(body))
+        for malformed in (body[:cut], body[:cut] + b"\xff" + body[cut:], body + body[cut:], body[cut:]):
+            if malformed != body:
+                with pytest.raises(EndpointListError):
+                    parse_in_steps(malformed)
+
+
+@pytest.mark.parametrize("name", ["version", "full", "servers"])
+@pytest.mark.parametrize("value", [None, "x", [5], {"a": 1}])
+def test_a_list_with_bad_members_is_rejected_by_both_parsers_or_by_neither(name: str, value: Any) -> None:
+    raw: dict[str, Any] = {"version": 7, "full": True, "servers": server_rows(3)} | {name: value}
+    try:
+        expected = parse_endpoint_list(raw)
+    except EndpointListError:
+        expected = None
+    if expected is None:
+        with pytest.raises(EndpointListError):
+            parse_in_steps(json.dumps(raw).encode())
+    else:
+        assert parse_in_steps(json.dumps(raw).encode()) == expected
+
+
+def test_requests_are_served_while_a_long_list_is_parsed_and_applied() -> None:
+    """It takes 0.1 s to parse and as long to apply; the loop runs in between, at least once a step."""
+
+    async def scenario() -> None:
+        many = [*server_rows(ENDPOINT_COUNT), server_row("s0", 80)]
+        body = json.dumps({"version": 9, "full": True, "servers": many}).encode()
+        assert len(body) > INCREMENTAL_PARSE_MIN_BYTES
+        discovery = FakeDiscovery()
+        script = ScriptedPolicy(forward_to("s0"))
+        async with running_gateway(always_reply(OK_RESPONSE), policy=script, discovery=discovery) as one:
+            many[-1] = server_row("s0", one.servers[0].port)
+            client = await one.connect_client()
+            gateway, iterations, served = one.program.gateway, 0, []
+
+            async def count_iterations() -> None:
+                nonlocal iterations
+                while True:
+                    iterations += 1
+                    await asyncio.sleep(0)
+
+            async def send_requests() -> None:
+                for number in itertools.count():
+                    reply = await client.execute(b"CALL.GET", CUSTOMER, b"%d" % number, READ_FIELDS)
+                    assert reply == b"value"
+                    served.append(len(gateway.servers.pools))
+
+            tasks = [asyncio.ensure_future(count_iterations()), asyncio.ensure_future(send_requests())]
+            await wait_until(lambda: served)
+            before = iterations
+            discovery.answers.append(
+                http_response(json.dumps({"version": 9, "full": True, "servers": many}).encode())
+            )
+            active = sum(server["state"] == "Ready" for server in many)
+            await wait_until(lambda: len(gateway.servers.pools) >= active)
+            assert iterations - before >= 2 * ENDPOINT_COUNT // ENDPOINTS_PER_STEP
+            assert any(1 < pools < active for pools in served)  # a request was served in the middle of it
+            updates = script.events_of(EndpointUpdate)
+            assert max(len(update.endpoints) for update in updates) <= ENDPOINTS_PER_STEP
+            for task in tasks:
+                task.cancel()
+
+    run_scenario(scenario())
+
+
+@pytest.mark.parametrize("addr", ["x", "x:", ":5", "h:0", "h:99999", "h:p", None])
+def test_a_list_with_a_bad_address_is_rejected(addr: Any) -> None:
+    bad = {"version": 1, "full": True, "servers": [server_row("a", 1) | {"addr": addr}]}
+    with pytest.raises(EndpointListError):
+        parse_endpoint_list(bad)
+
+
+@pytest.mark.parametrize(
+    ("text", "problem"),
+    [
+        ("[]", "no '{' at 0"),
+        ('{"full":true,"servers":[]}', "missing key 'version'"),
+        ('{"version":1,"servers":[]}', "missing key 'full'"),
+        ('{"version":1,"full":true}', "missing key 'servers'"),
+        ('{"version":1,"full":true,"servers":[{"zone":"a"}]}', "missing key 'id'"),
+        ('{"version":1,"full":true,"servers":[{"id":"a","state":"Ready"}]}', "no address for a"),
+        ('{"version":1,"full":true,"servers":[]}x', "text after the list"),
+    ],
+)
+def test_an_error_says_what_was_wrong(text: str, problem: str) -> None:
+    with pytest.raises(EndpointListError, match=problem):
+        parse_in_steps(text.encode())
--- /dev/null
+++ b/tests/network/test_poll_schedule.py
@@ -0,0 +1,102 @@
+"""The schedule of polls: freshness of the list, deadline, timeouts and delays."""
+
+from __future__ import annotations
+
+import pytest
+
+from quota_gateway.network.discovery.poll_schedule import (
+    EMPTY_RESPONSE_PAUSE_S,
+    FIRST_LONG_POLL_S,
+    LONG_POLL_S,
+    MAX_BACKOFF_S,
+    NOTIFICATION_DEADLINE_AFTER_RELOAD_S,
+    NOTIFICATION_DEADLINE_S,
+    RECONNECT_DELAY_S,
+    RESPONSE_GRACE_S,
+    Freshness,
+    PollSchedule,
+)
+
+
+class FakeClock:
+    def __init__(self) -> None:
+        self.now = 100.0
+
+    def __call__(self) -> float:
+        return self.now
+
+
+@pytest.fixture
+def clock() -> FakeClock:
+    return FakeClock()
+
+
+def freshness(schedule: PollSchedule) -> Freshness:
+    return schedule.freshness
+
+
+def test_freshness_follows_responses_failures_and_the_deadline(clock: FakeClock) -> None:
+    schedule = PollSchedule(clock)
+    assert freshness(schedule) is Freshness.UNCONFIRMED
+    schedule.poll_succeeded(clock.now)
+    assert freshness(schedule) is Freshness.CURRENT
+    clock.now += NOTIFICATION_DEADLINE_S
+    schedule.poll_failed()
+    assert freshness(schedule) is Freshness.UNCONFIRMED
+    clock.now += 0.1
+    schedule.poll_failed()
+    assert freshness(schedule) is Freshness.STALE
+    schedule.discovery_moved()
+    schedule.poll_failed()
+    assert freshness(schedule) is Freshness.STALE
+    schedule.poll_succeeded(clock.now)
+    assert freshness(schedule) is Freshness.CURRENT
+
+
+def test_a_move_of_discovery_shortens_the_deadline_and_never_extends_it(clock: FakeClock) -> None:
+    schedule = PollSchedule(clock)
+    schedule.poll_succeeded(clock.now)
+    schedule.discovery_moved()
+    assert freshness(schedule) is Freshness.UNCONFIRMED
+    assert schedule.remaining_s() == pytest.approx(NOTIFICATION_DEADLINE_AFTER_RELOAD_S)
+    clock.now += 3.0
+    schedule.discovery_moved()
+    assert schedule.remaining_s() == pytest.approx(NOTIFICATION_DEADLINE_AFTER_RELOAD_S - 3.0)
+
+
+def test_polls_are_long_while_the_list_is_current(clock: FakeClock) -> None:
+    schedule = PollSchedule(clock)
+    assert schedule.long_poll_s() == FIRST_LONG_POLL_S
+    schedule.poll_succeeded(clock.now)
+    assert schedule.long_poll_s() == LONG_POLL_S
+    assert schedule.response_timeout_s() == LONG_POLL_S + RESPONSE_GRACE_S
+
+
+@pytest.mark.parametrize(
+    ("waited_s", "timeout_s"),
+    [(0.0, LONG_POLL_S + RESPONSE_GRACE_S), (3.0, 3.0), (5.5, FIRST_LONG_POLL_S + RESPONSE_GRACE_S)],
+)
+def test_an_agent_gets_what_remains_until_the_deadline_after_a_failure(
+    clock: FakeClock, waited_s: float, timeout_s: float
+) -> None:
+    agent, shared = PollSchedule(clock), PollSchedule(clock, sharing_gateways=5)
+    clock.now += waited_s
+    assert agent.response_timeout_s() == pytest.approx(timeout_s)
+    assert shared.response_timeout_s() == LONG_POLL_S + RESPONSE_GRACE_S
+
+
+def test_a_poll_follows_at_once_unless_an_empty_response_came_at_once(clock: FakeClock) -> None:
+    schedule = PollSchedule(clock)
+    assert schedule.delay_after_response_s(empty=True, duration_s=0.05) == EMPTY_RESPONSE_PAUSE_S
+    assert schedule.delay_after_response_s(empty=True, duration_s=0.3) == 0.0
+    assert schedule.delay_after_response_s(empty=False, duration_s=0.0) == 0.0
+
+
+def test_backoff_after_malformed_responses_grows_for_a_shared_service_only(clock: FakeClock) -> None:
+    shared, agent = PollSchedule(clock, sharing_gateways=5), PollSchedule(clock)
+    delays = [shared.delay_after_malformed_response_s() for _ in range(9)]
+    assert delays[0] <= 0.15
+    assert all(0.5 * MAX_BACKOFF_S <= delay <= 1.5 * MAX_BACKOFF_S for delay in delays[4:])
+    assert max(agent.delay_after_malformed_response_s() for _ in range(9)) <= 1.5 * RECONNECT_DELAY_S
+    shared.poll_succeeded(clock.now)
+    assert shared.delay_after_malformed_response_s() <= 0.15
