--- a/quota_gateway/lab/scaling/slopes.py
+++ b/quota_gateway/lab/scaling/slopes.py
@@ -31,7 +31,7 @@
 from quota_gateway.lab.load.gateway_process import GatewayProcess
 from quota_gateway.lab.simulation.wire_sizes import HTTP_HEAD, call_get, listing
 from quota_gateway.network import resp
-from quota_gateway.network.commands import Bounds, Catalogue
+from quota_gateway.network.commands import CommandParser, RequestLimits
 from quota_gateway.network.discovery.watch import LONG_BODY, WAIT_S, Exchange, LongList, read_list
 from quota_gateway.policy.gateway import Gateway, stable
 from quota_gateway.policy_api.actions import IncrementCounter, StartAttempt
@@ -342,8 +342,8 @@
     asked = Slope("counter: call written", "bytes", "calls")
     answer = Slope("counter: answer", "bytes", "calls")
     names = [stable(f"{i * 7919:016x}/{60_000 * i}") for i in range(NAMES)]
-    asked.add(1, [float(len(resp.command(b"INCRTTL", b"%d" % n, b"2.000", b"60000"))) for n in names])
-    answer.add(1, [float(len(resp.bulk(b"%.7g" % total))) for total in (1, 42.5, 1234.567)])
+    asked.add(1, [float(len(resp.encode_command(b"INCRTTL", b"%d" % n, b"2.000", b"60000"))) for n in names])
+    answer.add(1, [float(len(resp.encode_bulk(b"%.7g" % total))) for total in (1, 42.5, 1234.567)])
     return [idle, quiet, news, asked, answer]
 
 
@@ -384,24 +384,24 @@
 
 def by_request(repeats: int) -> list[Slope]:
     """The network code's own work for one request: command, answer and call to the counter."""
-    catalogue = Catalogue(COUNTED, Bounds(8.0, 2500.0))
+    command_parser = CommandParser(COUNTED, RequestLimits(8.0, 2500.0))
     command = call_get("00000000b4d65521", "9b1f03aa5c7e2d41", "basico", 480.0, 2.0, 3)
-    answer = b"*3\r\n" + resp.bulk(b"x" * 64) + b"$-1\r\n$-1\r\n"
+    answer = b"*3\r\n" + resp.encode_bulk(b"x" * 64) + b"$-1\r\n$-1\r\n"
 
     def client() -> None:
         parser = resp.Parser()
         parser.feed(command)
-        words = parser.next()
+        words = parser.next_message()
         assert isinstance(words, list)
-        catalogue.call(words).encode(400)
+        command_parser.parse(words).encode(400)
 
     def server() -> None:
         parser = resp.Parser()
         parser.feed(answer)
-        parser.next()
+        parser.next_message()
 
     def count() -> None:
-        resp.command(b"INCRTTL", b"%d" % (7919 << 40), b"%.3f" % 2.0, b"60000")
+        resp.encode_command(b"INCRTTL", b"%d" % (7919 << 40), b"%.3f" % 2.0, b"60000")
 
     out = []
     for name, call in (
--- a/quota_gateway/lab/simulation/gateways.py
+++ b/quota_gateway/lab/simulation/gateways.py
@@ -16,7 +16,7 @@
 from quota_gateway.lab.simulation.servers import Job, Life, Server
 from quota_gateway.lab.simulation.wire_sizes import SERVED, call_get, incrttl
 from quota_gateway.network.__main__ import LIST_WAIT_S
-from quota_gateway.network.bridge import ANSWER_MARGIN_S
+from quota_gateway.network.bridge import RESPONSE_MARGIN_S
 from quota_gateway.policy.gateway import Gateway
 from quota_gateway.policy_api.actions import (
     CancelAttempt,
@@ -230,7 +230,7 @@
             return
         number, one.attempts = one.attempts, one.attempts + 1
         server = self.world.servers[action.server_id]
-        left = one.deadline - 1000.0 * ANSWER_MARGIN_S - now
+        left = one.deadline - 1000.0 * RESPONSE_MARGIN_S - now
         wait = min(left, action.timeout_ms) if action.timeout_ms > 0 else left
         if wait <= 0 or number >= self.settings.max_attempts or one.current is not None:
             unsent = AttemptCompleted(one.ref, number, server.name, CallOutcome.NOT_SENT, 0.0, False)
--- a/quota_gateway/network/__main__.py
+++ b/quota_gateway/network/__main__.py
@@ -17,14 +17,14 @@
 
 import uvloop
 
-from quota_gateway.network.bridge import Decisions, Gateway
-from quota_gateway.network.client_connection import MOST_SPARE, Listener
-from quota_gateway.network.commands import Bounds, Catalogue, bounds
+from quota_gateway.network.bridge import Policy, PolicyBridge
+from quota_gateway.network.commands import CommandParser, RequestLimits, decode_request_limits
 from quota_gateway.network.counter_client import LINKS, Counter
 from quota_gateway.network.discovery.watch import Discovery, ListError, News, address, read_list
+from quota_gateway.network.listener import MAX_REFUSED_CONNECTIONS, Listener
 from quota_gateway.network.log_setup import configure_logging, log_event
-from quota_gateway.network.server_pool import Limits, Servers, idle_s
-from quota_gateway.policy.gateway import Gateway as Policy
+from quota_gateway.network.server_pool import PoolLimits, ServerPools, idle_limit_s
+from quota_gateway.policy.gateway import Gateway
 from quota_gateway.settings import Settings, decode_settings, number_or
 
 LIST_WAIT_S = 0.3  # a start waits this long for the list of the day before it serves by the saved one
@@ -79,7 +79,7 @@
     """Shares out the descriptors that a process may hold. The reserved ones are nobody else's: clients that
     fill theirs must not keep discovery, the counter or the servers from getting a connection."""
     rest = sockets - RESERVED
-    servers, spare = min(sockets * 3 // 10, rest * 3 // 8), min(MOST_SPARE, rest // 6)
+    servers, spare = min(sockets * 3 // 10, rest * 3 // 8), min(MAX_REFUSED_CONNECTIONS, rest // 6)
     return Budget(servers, min(sockets // 2, rest - servers - spare), spare)
 
 
@@ -99,8 +99,8 @@
     sockets: int
     known: News | None
     settings: Settings
-    limits: Limits
-    bounds: Bounds
+    limits: PoolLimits
+    bounds: RequestLimits
 
 
 def part(raw: dict[str, Any], key: str) -> dict[str, Any]:
@@ -145,13 +145,13 @@
         sockets=sockets,
         known=read_list(raw["known"], saved=True) if raw.get("known") else None,
         settings=made,
-        limits=Limits(
-            connect_s=number_or(limits.get("connect_timeout_ms"), 250.0) / 1000.0,
-            idle_s=idle_s(number_or(limits.get("conn_idle_ms"), 15_000.0) / 1000.0),
-            grace_s=number_or(safety.get("drain_grace_ms"), 250.0) / 1000.0,
-            connections=budget(sockets).servers,
+        limits=PoolLimits(
+            connect_timeout_s=number_or(limits.get("connect_timeout_ms"), 250.0) / 1000.0,
+            idle_s=idle_limit_s(number_or(limits.get("conn_idle_ms"), 15_000.0) / 1000.0),
+            drain_grace_s=number_or(safety.get("drain_grace_ms"), 250.0) / 1000.0,
+            max_connections=budget(sockets).servers,
         ),
-        bounds=bounds(raw["settings"]),
+        bounds=decode_request_limits(raw["settings"]),
     )
 
 
@@ -162,26 +162,31 @@
         self,
         config: Config,
         loop: asyncio.AbstractEventLoop,
-        decisions: Decisions | None = None,
+        policy: Policy | None = None,
         environ: dict[str, str] | None = None,
     ) -> None:
         self.config = config
         self.environ = environ or {}
         self.loop = loop
         made = config.settings
-        self.servers = Servers(loop, config.limits)
+        self.server_pools = ServerPools(loop, config.limits)
         self.counter = (
             Counter(loop, config.counter, made.counter_timeout_ms / 1000.0) if config.counter else None
         )
-        decisions = decisions or Policy(made, config.seed)
-        self.gateway = Gateway(loop, decisions, self.servers, self.counter)
+        policy = policy or Gateway(made, config.seed)
+        self.bridge = PolicyBridge(loop, policy, self.server_pools, self.counter)
         shares = budget(config.sockets)
         self.listener = Listener(
-            loop, self.gateway, Catalogue(made, config.bounds), shares.clients, shares.spare
+            loop, self.bridge, CommandParser(made, config.bounds), shares.clients, shares.spare
         )
         callers = made.gateway_count if made.watch_required else 0
         self.discovery = Discovery(
-            loop, config.discovery, self.gateway.news, config.seed, callers, made.gateway_index
+            loop,
+            config.discovery,
+            self.bridge.endpoint_update_steps,
+            config.seed,
+            callers,
+            made.gateway_index,
         )
         self.stopping = asyncio.Event()
 
@@ -204,7 +209,7 @@
     async def start(self) -> None:
         """Brings the parts up; clients come last."""
         if self.config.known is not None:
-            for _ in self.gateway.news(self.config.known):
+            for _ in self.bridge.endpoint_update_steps(self.config.known):
                 await asyncio.sleep(0)
         self.discovery.start(self.config.known.version if self.config.known is not None else None)
         # The saved list may be old: a moment is given for today's, but no start hangs on discovery.
@@ -236,16 +241,16 @@
         """A planned end: takes what still comes, finishes what is held, and is gone before the kill."""
         began = self.loop.time()
         await asyncio.sleep(ACCEPT_S)
-        self.listener.stop()
-        end = began + leave_s(self.config.bounds.wait_ms)
+        self.listener.drain()
+        end = began + leave_s(self.config.bounds.max_time_left_ms)
         await self.emptied(end)
-        self.gateway.leave()
+        self.bridge.shut_down()
         await self.emptied(max(end, self.loop.time()) + LINGER_S)
         await self.close()
 
     async def emptied(self, until: float) -> None:
         """Waits until no client is connected, but no longer than to a moment."""
-        while self.listener.clients and self.loop.time() < until:
+        while self.listener.connections and self.loop.time() < until:
             await asyncio.sleep(0.02)
 
     async def close(self) -> None:
@@ -254,7 +259,7 @@
         self.discovery.close()
         if self.counter is not None:
             self.counter.close()
-        self.servers.close()
+        self.server_pools.close()
         await asyncio.sleep(0)
 
 
--- a/quota_gateway/network/bridge.py
+++ b/quota_gateway/network/bridge.py
@@ -1,27 +1,28 @@
-"""The life of each request: events go to the decision module, its actions are carried out in order.
+"""The bridge between sockets and policy: events go in, the actions returned are carried out in order.
 
-Nothing that carries out an action calls the module: endings, answers and timers are queued and handed over
-one by one, each after the actions of the one before it. Whatever the module does, a request gets one final
-answer.
+The policy must not be called from within a call. Whatever completes while actions are being carried out is
+therefore queued as an event and handed over afterwards, one event at a time. Whatever the policy does, and
+whether or not it fails, each request gets exactly one final answer within its deadline.
 """
 
 from __future__ import annotations
 
 import asyncio
 import logging
-import math
-import re
-import time
 from collections import deque
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass
 from typing import Protocol
 
-from quota_gateway.logfmt import format_event
 from quota_gateway.network import resp
+from quota_gateway.network.attempt import Attempt
+from quota_gateway.network.attempt_result import AttemptResult
+from quota_gateway.network.clock import Clock
+from quota_gateway.network.commands import RequestCommand
 from quota_gateway.network.counter_client import Counter
 from quota_gateway.network.discovery.watch import News
-from quota_gateway.network.server_pool import Attempt, Result, Servers
+from quota_gateway.network.load_report import parse_load_report
+from quota_gateway.network.log_setup import EventMessage, log_event
+from quota_gateway.network.server_pool import Address, ServerPools
 from quota_gateway.policy_api.actions import (
     Action,
     CancelAttempt,
@@ -33,7 +34,13 @@
     StartAttempt,
     WatchEndpoints,
 )
-from quota_gateway.policy_api.endpoints import EndpointState, EndpointUpdate, UpdateKind, split_update
+from quota_gateway.policy_api.endpoints import (
+    Endpoint,
+    EndpointState,
+    EndpointUpdate,
+    UpdateKind,
+    split_update,
+)
 from quota_gateway.policy_api.events import (
     AttemptCompleted,
     CallOutcome,
@@ -46,310 +53,317 @@
 
 log = logging.getLogger("quota_gateway")
 
-ANSWER_MARGIN_S = 0.01  # attempts end this long before the client's time does, so that the answer is in time
+RESPONSE_MARGIN_S = 0.01  # attempts time out this long before the client's deadline, to answer in time
+TIMER_RETRY_MS = 250.0  # a timer whose event made the policy fail fires again after this
+TIMER_SLACK_S = 0.001  # the loop's clock is coarse, and a timer must not fire early
 DID_NOT_RUN = (CallOutcome.REJECTED, CallOutcome.UNREACHABLE, CallOutcome.NOT_SENT)
-QUEUE_WORDS = (b"queue", b"waiting")
-ACTIVE_WORDS = (b"inflight", b"active")
-FIGURE = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
-MOST_HELD = 100_000.0  # requests at one server; a report of more is absurd
-MOST_REPORT = 256
-
-
-class Clock:
-    """Unix milliseconds, read once and carried on by the monotonic clock: it never goes back."""
 
-    def __init__(self) -> None:
-        self._offset = time.time() * 1000.0 - time.monotonic() * 1000.0
 
-    def now(self) -> float:
-        """The present."""
-        return self._offset + time.monotonic() * 1000.0
+class Policy(Protocol):
+    """The policy, as far as the bridge needs it."""
 
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
+        """Handle one event and return the actions to carry out, in order."""
 
-class Decisions(Protocol):
-    """The decision module, as far as the gateway needs it."""
 
-    def handle(self, now_ms: float, event: Event) -> list[Action]: ...
+class InFlightRequest:
+    """A request that was accepted from a client and has not been answered.
 
+    `ref` identifies it towards the policy. The client's own request id does not: an attempt may outlive its
+    request, and the client may use the id again meanwhile.
+    """
 
-@dataclass(slots=True)
-class Call:
-    """A client's command, parsed and checked once. `fields` has a gap where the time left goes."""
+    __slots__ = (
+        "attempt",
+        "attempts_started",
+        "command",
+        "deadline",
+        "deadline_timer",
+        "may_have_run",
+        "ref",
+        "send_reply",
+    )
 
-    request_id: bytes
-    class_name: str
-    plan: str
-    customer: str
-    time_left_ms: float
-    units: float
-    spread: int
-    before: bytes  # the command up to the field list
-    fields: tuple[bytes, bytes]  # the list up to and with "d=", and what follows the number
-    after: bytes  # the body, encoded, or nothing
+    def __init__(
+        self, ref: str, command: RequestCommand, deadline: float, send_reply: Callable[[bytes], None]
+    ) -> None:
+        self.ref = ref
+        self.command = command
+        self.deadline = deadline  # the loop's time
+        self.send_reply = send_reply
+        self.attempts_started = 0
+        self.attempt: Attempt | None = None  # the one in flight
+        self.may_have_run = False  # by an attempt that has completed
+        self.deadline_timer: asyncio.TimerHandle | None = None
 
-    def encode(self, left_ms: int) -> bytes:
-        """The command for a server: the client's own, but for the time left."""
-        fields = b"%b%d%b" % (self.fields[0], left_ms, self.fields[1])
-        return b"%b%b%b" % (self.before, resp.bulk(fields), self.after)
+    def may_run(self) -> bool:
+        """Tell whether an attempt may have run, or may still run."""
+        return self.may_have_run or (self.attempt is not None and self.attempt.may_have_run)
 
+    def attempt_timeout_s(self, now: float, timeout_ms: float) -> float:
+        """Return how long an attempt that starts now may take; a `timeout_ms` of 0 stands for no time-out."""
+        time_left_s = self.deadline - RESPONSE_MARGIN_S - now
+        return min(time_left_s, timeout_ms / 1000.0) if timeout_ms > 0 else time_left_s
 
-class Live:
-    """A request that has been taken."""
 
-    __slots__ = ("answer", "attempts", "call", "current", "deadline", "may_have_run", "ref", "timer")
-
-    def __init__(self, ref: str, call: Call, deadline: float, answer: Callable[[bytes], None]) -> None:
-        self.ref = ref
-        self.call = call
-        self.deadline = deadline  # the loop's time
-        self.answer = answer
-        self.attempts = 0
-        self.current: Attempt | None = None
-        self.may_have_run = False
-        self.timer: asyncio.TimerHandle | None = None
-
-
-def report(text: bytes | None) -> tuple[float | None, float | None]:
-    """Queue and requests held, from a load report. What can't be read or can't be true counts as not told: a
-    single `nan` would stay in the module's means for ever."""
-    queue = active = None
-    for part in text.split(b",") if text and len(text) <= MOST_REPORT else ():
-        name, _, digits = part.partition(b"=")
-        value = float(digits) if FIGURE.fullmatch(digits) else math.inf
-        if value > MOST_HELD:
-            continue
-        if name in QUEUE_WORDS:
-            queue = value
-        elif name in ACTIVE_WORDS:
-            active = value
-    return queue, active
-
-
-class Gateway:
-    """Ties the sockets to the decisions."""
+class PolicyBridge:
+    """Hosts the policy: turns what happens on sockets into events, and actions into what happens there."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, decisions: Decisions, servers: Servers, counter: Counter | None
+        self,
+        loop: asyncio.AbstractEventLoop,
+        policy: Policy,
+        server_pools: ServerPools,
+        counter: Counter | None,
     ) -> None:
         self.loop = loop
         self.clock = Clock()
-        self.decisions = decisions
-        self.servers = servers
-        self.counter = counter
-        self.live: dict[str, Live] = {}
-        self.out: dict[tuple[str, int], Attempt] = {}  # attempts may outlive their requests
-        self.started_ms: dict[str, float] = {}
-        self.serial = 0
-        self.events: deque[Event] = deque()
-        self.draining = False
-        self.leaving = False  # the process ends: nothing more is sent on
-
-    # --- events in ---------------------------------------------------------------------------------------
-
-    def post(self, event: Event) -> None:
-        """Queues an event; hands it over unless one is being handled."""
-        self.events.append(event)
-        if self.draining:
+        self.policy = policy
+        self.server_pools = server_pools
+        self.counter = counter  # None: every increment is unreachable
+        self.in_flight: dict[str, InFlightRequest] = {}  # by ref
+        self.attempts: dict[tuple[str, int], Attempt] = {}  # in flight, by ref and number
+        self.started_ms: dict[str, float] = {}  # Unix time of each server's last start, by server id
+        self.shutting_down = False  # requests are rejected on arrival
+        self._request_count = 0
+        self._events: deque[Event] = deque()
+        self._dispatching = False
+
+    # --- events to the policy ----------------------------------------------------------------------------
+
+    def post_event(self, event: Event) -> None:
+        """Hand an event to the policy, after the actions of the event being handled, if there is one."""
+        self._events.append(event)
+        if self._dispatching:
             return
-        self.draining = True
+        self._dispatching = True
         try:
-            while self.events:
-                self.hand_over(self.events.popleft())
+            while self._events:
+                self._dispatch(self._events.popleft())
         finally:
-            self.draining = False
+            self._dispatching = False
 
-    def hand_over(self, event: Event) -> None:
-        """One event and its actions. A fault in either is logged and must not cost anybody the answer."""
+    def _dispatch(self, event: Event) -> None:
+        """Handle one event and carry out its actions. A failure in either costs no request its answer."""
         try:
-            actions = self.decisions.handle(self.clock.now(), event)
+            actions = self.policy.handle(self.clock.now_ms(), event)
         except Exception:
-            log.exception("the decisions failed on %s", type(event).__name__)
-            if isinstance(event, Request | AttemptCompleted):
-                self.close_request(event.request_id)
-            elif isinstance(event, TimerFired):
-                self.set_timer(event.token, self.clock.now() + 250.0)  # or the module would never tick again
+            log_event(log, logging.ERROR, "policy_failed", exc_info=True, policy_event=type(event).__name__)
+            self._recover_from_failed_event(event)
             return
         for action in actions:
             try:
-                self.perform(action)
+                self._perform(action)
             except Exception:
-                log.exception("carrying out %s failed", type(action).__name__)
+                log_event(log, logging.ERROR, "action_failed", exc_info=True, action=type(action).__name__)
                 if isinstance(action, StartAttempt | Reject | Fail):
                     self.close_request(action.request_id)
 
-    def take(self, call: Call, answer: Callable[[bytes], None]) -> Live:
-        """A client's request has come whole; `answer` is called once, with the encoded reply."""
-        self.serial += 1
-        # Ids of our own: an attempt may outlive its request, whose id a client may then use again.
-        ref = str(self.serial)
-        live = Live(ref, call, self.loop.time() + call.time_left_ms / 1000.0, answer)
-        self.live[ref] = live
-        live.timer = self.loop.call_at(live.deadline, self.overdue, ref)
-        if self.leaving:
-            self.refuse(ref, 0.0)  # another gateway can serve it at once
-            return live
-        self.post(
+    def _recover_from_failed_event(self, event: Event) -> None:
+        """Answer the request of an event that the policy failed on, or keep its timer going."""
+        if isinstance(event, Request | AttemptCompleted):
+            self.close_request(event.request_id)
+        elif isinstance(event, TimerFired):
+            self._set_timer(event.token, self.clock.now_ms() + TIMER_RETRY_MS)
+
+    # --- requests ----------------------------------------------------------------------------------------
+
+    def accept_request(self, command: RequestCommand, send_reply: Callable[[bytes], None]) -> InFlightRequest:
+        """Take charge of a client's request.
+
+        `send_reply` is called at most once, with the encoded final answer, possibly before this returns. It
+        is not called after `cancel_request`.
+        """
+        self._request_count += 1
+        ref = str(self._request_count)
+        deadline = self.loop.time() + command.time_left_ms / 1000.0
+        request = InFlightRequest(ref, command, deadline, send_reply)
+        self.in_flight[ref] = request
+        request.deadline_timer = self.loop.call_at(deadline, self.close_request, ref)
+        if self.shutting_down:
+            self._reject(ref, 0.0)  # another gateway can serve it at once
+            return request
+        self.post_event(
             Request(
-                ref, call.class_name, call.plan, call.customer, call.time_left_ms, call.units, call.spread
+                ref,
+                command.class_name,
+                command.plan,
+                command.customer,
+                command.time_left_ms,
+                command.units,
+                command.customer_gateways,
             )
         )
-        return live
-
-    def client_left(self, live: Live) -> None:
-        """Nobody waits for the answer any more: what was not written yet is not sent on."""
-        if self.forget(live):
-            self.post(ClientDisconnected(live.ref))
-            if live.current is not None and not live.current.written:
-                live.current.stop(CallOutcome.CANCELLED)
-
-    def overdue(self, ref: str) -> None:
-        """The client's time is up and the module has not answered: the gateway does."""
-        self.close_request(ref)
-
-    def news(self, news: News) -> Iterator[None]:
-        """The list changed. One of many servers is taken in by pieces, what is gone or drains first; other
-        work may be done between them."""
-        for piece in split_update(news.event, list(self.servers.pools)):
-            self.changed(piece, news.addresses)
+        return request
+
+    def cancel_request(self, request: InFlightRequest) -> None:
+        """Give up a request whose client has disconnected: what was not written yet is not sent any more."""
+        if self._remove_request(request):
+            self.post_event(ClientDisconnected(request.ref))
+            if request.attempt is not None and not request.attempt.may_have_run:
+                request.attempt.cancel()
+
+    def close_request(self, ref: str) -> None:
+        """Answer a request in the policy's place, at its deadline or after a failure, and cancel it there."""
+        request = self.in_flight.get(ref)
+        if request is not None:
+            self._reject(ref, 0.0)
+            if request.attempt is not None:
+                request.attempt.cancel()
+            self.post_event(ClientDisconnected(ref))
+
+    def shut_down(self) -> None:
+        """Answer all requests in flight and reject those that still arrive."""
+        self.shutting_down = True
+        for ref in list(self.in_flight):
+            self.close_request(ref)
+
+    def _reject(self, ref: str, retry_after_ms: float) -> None:
+        """Reject a request, or fail it if it may have run: a rejection promises that it has not."""
+        request = self.in_flight.get(ref)
+        if request is not None:
+            reply = resp.FAILED if request.may_run() else resp.encode_busy(retry_after_ms)
+            self._answer(ref, reply)
+
+    def _answer(self, ref: str, reply: bytes) -> None:
+        """Send the final answer. Without effect on a request that was answered or cancelled before."""
+        request = self.in_flight.get(ref)
+        if request is not None and self._remove_request(request):
+            request.send_reply(reply)
+
+    def _remove_request(self, request: InFlightRequest) -> bool:
+        """Remove a request from those in flight; False if it was not among them."""
+        if self.in_flight.pop(request.ref, None) is None:
+            return False
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
+            request.deadline_timer = None
+        return True
+
+    # --- endpoints ---------------------------------------------------------------------------------------
+
+    def endpoint_update_steps(self, news: News) -> Iterator[None]:
+        """Apply an endpoint update step by step; other work may be done between the steps.
+
+        A long snapshot is split, endpoints that are gone or draining first.
+        """
+        for update in split_update(news.event, list(self.server_pools.pools)):
+            self._apply_endpoint_update(update, news.addresses)
             yield
 
-    def changed(self, event: EndpointUpdate, addresses: dict[str, tuple[str, int]]) -> None:
-        """Follows a list: the pools first, so that nothing is written where nothing may go."""
-        for entry in event.endpoints:
-            if entry.state is EndpointState.ACTIVE:
-                anew = self.started_ms.get(entry.server_id, entry.started_ms) != entry.started_ms
-                self.started_ms[entry.server_id] = entry.started_ms
-                self.servers.listed(entry.server_id, addresses[entry.server_id], anew)
-            elif entry.state is EndpointState.DRAINING:
-                self.servers.stopped(entry.server_id)
-            else:
-                self.servers.gone(entry.server_id)
-                self.started_ms.pop(entry.server_id, None)  # its id never comes again
-        if event.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED_SNAPSHOT):
-            listed = {entry.server_id for entry in event.endpoints}
-            for server in [name for name in self.servers.pools if name not in listed]:
-                self.servers.gone(server)
-            self.started_ms = {k: v for k, v in self.started_ms.items() if k in listed}
-        self.post(event)
-
-    # --- actions out -------------------------------------------------------------------------------------
-
-    def perform(self, action: Action) -> None:
-        """Carries out one action."""
+    def _apply_endpoint_update(self, update: EndpointUpdate, addresses: dict[str, Address]) -> None:
+        """Update the pools, then the policy, so that nothing is written to a server that must get nothing."""
+        for endpoint in update.endpoints:
+            self._apply_endpoint(endpoint, addresses)
+        if update.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED_SNAPSHOT):
+            self._remove_unlisted({endpoint.server_id for endpoint in update.endpoints})
+        self.post_event(update)
+
+    def _apply_endpoint(self, endpoint: Endpoint, addresses: dict[str, Address]) -> None:
+        server_id = endpoint.server_id
+        if endpoint.state is EndpointState.ACTIVE:
+            restarted = self.started_ms.get(server_id, endpoint.started_ms) != endpoint.started_ms
+            self.started_ms[server_id] = endpoint.started_ms
+            self.server_pools.activate(server_id, addresses[server_id], restarted)
+        elif endpoint.state is EndpointState.DRAINING:
+            self.server_pools.drain(server_id)
+        else:
+            self.server_pools.remove(server_id)
+            self.started_ms.pop(server_id, None)  # ids are never used again
+
+    def _remove_unlisted(self, listed: set[str]) -> None:
+        """Forget the servers that a snapshot does not list."""
+        for server_id in [known for known in self.server_pools.pools if known not in listed]:
+            self.server_pools.remove(server_id)
+        self.started_ms = {known: at for known, at in self.started_ms.items() if known in listed}
+
+    # --- actions of the policy ---------------------------------------------------------------------------
+
+    def _perform(self, action: Action) -> None:
+        """Carry out one action."""
         match action:
             case StartAttempt():
-                self.send(action)
+                self._start_attempt(action)
             case Reject(request_id, retry_after_ms):
-                self.refuse(request_id, retry_after_ms)
+                self._reject(request_id, retry_after_ms)
             case Fail(request_id):
-                self.answer(request_id, resp.FAILED)
+                self._answer(request_id, resp.FAILED)
             case CancelAttempt(request_id, number):
-                attempt = self.out.get((request_id, number))
+                attempt = self.attempts.get((request_id, number))
                 if attempt is not None:
-                    attempt.stop(CallOutcome.CANCELLED)
+                    attempt.cancel()
             case SetTimer(token, at_ms):
-                self.set_timer(token, at_ms)
-            case IncrementCounter(name, amount, ttl_ms):
-                self.count(name, amount, ttl_ms)
+                self._set_timer(token, at_ms)
+            case IncrementCounter(key, amount, ttl_ms):
+                self._increment_counter(key, amount, ttl_ms)
             case WatchEndpoints():
                 pass  # the watch runs from the start
             case LogEvent(event, fields):
-                log.info("%s", format_event(event, fields))
+                log.info(EventMessage(event, dict(fields)))
 
-    def set_timer(self, token: int, at_ms: float) -> None:
-        """Fires at the time or after; the loop's clock is coarse, and a timer must not come early."""
-        delay = max(0.0, at_ms - self.clock.now()) / 1000.0
-        self.loop.call_later(delay + 0.001, self.post, TimerFired(token))
+    def _set_timer(self, token: int, at_ms: float) -> None:
+        """Post `TimerFired` at the time or after."""
+        delay_s = max(0.0, at_ms - self.clock.now_ms()) / 1000.0
+        self.loop.call_later(delay_s + TIMER_SLACK_S, self.post_event, TimerFired(token))
 
-    def count(self, name: int, amount: float, ttl_ms: float) -> None:
-        """Calls the counter."""
+    def _increment_counter(self, key: int, amount: float, ttl_ms: float) -> None:
+        """Call the shared counter."""
 
-        def done(total: float, ending: CallOutcome, took_ms: float) -> None:
-            self.post(CounterReply(name, total, ending, took_ms))
+        def on_reply(total: float, outcome: CallOutcome, duration_ms: float) -> None:
+            self.post_event(CounterReply(key, total, outcome, duration_ms))
 
         if self.counter is None:
-            done(0.0, CallOutcome.UNREACHABLE, 0.0)
+            on_reply(0.0, CallOutcome.UNREACHABLE, 0.0)
         else:
-            self.counter.call(name, amount, ttl_ms, done)
-
-    def send(self, action: StartAttempt) -> None:
-        """Starts an attempt, or ends it unsent where it must not go."""
-        ref, server = action.request_id, action.server_id
-        live = self.live.get(ref)
-        number = live.attempts if live is not None else 0
-        if live is not None:
-            live.attempts += 1
-        if live is None or live.current is not None:
-            # Over, or another attempt is still out: two at once are not allowed here.
-            self.post(AttemptCompleted(ref, number, server, CallOutcome.NOT_SENT, 0.0, live is None))
+            self.counter.call(key, amount, ttl_ms, on_reply)
+
+    def _start_attempt(self, action: StartAttempt) -> None:
+        """Start an attempt, or complete it unsent where it must not be sent."""
+        ref, server_id = action.request_id, action.server_id
+        request = self.in_flight.get(ref)
+        if request is None:
+            self.post_event(AttemptCompleted(ref, 0, server_id, CallOutcome.NOT_SENT, 0.0, True))
             return
-        left = live.deadline - ANSWER_MARGIN_S - self.loop.time()
-        wait = min(left, action.timeout_ms / 1000.0) if action.timeout_ms > 0 else left
-        attempt = None
-        if wait > 0:
-
-            def done(result: Result) -> None:
-                self.ended(live, number, server, result)
-
-            attempt = self.servers.attempt(server, live.call.encode, wait, done)
-        if attempt is None:
-            ending = CallOutcome.UNREACHABLE if wait > 0 else CallOutcome.NOT_SENT
-            self.post(AttemptCompleted(ref, number, server, ending, 0.0, False))
+        number = request.attempts_started
+        request.attempts_started += 1
+        timeout_s = request.attempt_timeout_s(self.loop.time(), action.timeout_ms)
+        # This host carries one attempt of a request at a time.
+        if request.attempt is not None or timeout_s <= 0:
+            self.post_event(AttemptCompleted(ref, number, server_id, CallOutcome.NOT_SENT, 0.0, False))
+            return
+        pool = self.server_pools.writable_pool(server_id)
+        if pool is None:
+            self.post_event(AttemptCompleted(ref, number, server_id, CallOutcome.UNREACHABLE, 0.0, False))
             return
-        live.current = self.out[ref, number] = attempt
-        attempt.start()
 
-    def ended(self, live: Live, number: int, server: str, result: Result) -> None:
-        """An attempt's one ending. A value goes to the client before the module hears of it."""
-        attempt = self.out.pop((live.ref, number))
-        live.current = None
-        if result.ending not in DID_NOT_RUN:
-            live.may_have_run = True
-        took_ms = 1000.0 * (self.loop.time() - attempt.started)
-        if result.ending is CallOutcome.OK and result.value is not None:
-            self.answer(live.ref, resp.bulk(result.value))
-        queue, active = report(result.report)
-        final = live.ref not in self.live
-        self.post(AttemptCompleted(live.ref, number, server, result.ending, took_ms, final, queue, active))
-
-    # --- final answers -----------------------------------------------------------------------------------
-
-    def refuse(self, ref: str, retry_after_ms: float) -> None:
-        """A refusal promises that no try ran; where one may have, it is a failure, whoever asks for it."""
-        live = self.live.get(ref)
-        if live is not None:
-            self.answer(ref, resp.FAILED if self.unsafe(live) else resp.busy(retry_after_ms))
-
-    def unsafe(self, live: Live) -> bool:
-        """Whether a try may have run, or may yet."""
-        return live.may_have_run or (live.current is not None and live.current.written)
-
-    def answer(self, ref: str, reply: bytes) -> None:
-        """The one final answer; a second finds the request gone."""
-        live = self.live.get(ref)
-        if live is not None and self.forget(live):
-            live.answer(reply)
+        def on_complete(result: AttemptResult) -> None:
+            self._complete_attempt(request, number, server_id, result)
 
-    def close_request(self, ref: str) -> None:
-        """Answers a request that the module did not, and tells the module that it is over."""
-        live = self.live.get(ref)
-        if live is not None:
-            self.refuse(ref, 0.0)
-            if live.current is not None:
-                live.current.stop(CallOutcome.CANCELLED)
-            self.post(ClientDisconnected(ref))
-
-    def forget(self, live: Live) -> bool:
-        """Takes a request off the books; False if it was off before."""
-        if self.live.pop(live.ref, None) is None:
-            return False
-        if live.timer is not None:
-            live.timer.cancel()
-            live.timer = None
-        return True
+        attempt = Attempt(pool, request.command.encode, timeout_s, on_complete)
+        request.attempt = self.attempts[ref, number] = attempt
+        attempt.start()
 
-    def leave(self) -> None:
-        """The end of the process: answers all that is held, and refuses what still comes."""
-        self.leaving = True
-        for ref in list(self.live):
-            self.close_request(ref)
+    def _complete_attempt(
+        self, request: InFlightRequest, number: int, server_id: str, result: AttemptResult
+    ) -> None:
+        """Answer the client, if the attempt succeeded, and then tell the policy."""
+        attempt = self.attempts.pop((request.ref, number))
+        request.attempt = None
+        if result.outcome not in DID_NOT_RUN:
+            request.may_have_run = True
+        duration_ms = 1000.0 * (self.loop.time() - attempt.started_at)
+        if result.outcome is CallOutcome.OK and result.value is not None:
+            self._answer(request.ref, resp.encode_bulk(result.value))
+        report = parse_load_report(result.load_report)
+        self.post_event(
+            AttemptCompleted(
+                request.ref,
+                number,
+                server_id,
+                result.outcome,
+                duration_ms,
+                request_completed=request.ref not in self.in_flight,
+                queue_length=report.queue_length,
+                active_requests=report.active_requests,
+            )
+        )
--- a/quota_gateway/network/counter_client.py
+++ b/quota_gateway/network/counter_client.py
@@ -98,7 +98,7 @@
             transport.abort()  # type: ignore[attr-defined]  # retired while it came up
             return
         self.parser = resp.Parser()
-        self.write(resp.command(b"PING"), Call(None, self.loop.time()))
+        self.write(resp.encode_command(b"PING"), Call(None, self.loop.time()))
 
     def write(self, data: bytes, call: Call) -> None:
         """Writes one call and waits for its answer in turn."""
@@ -113,7 +113,7 @@
     def data_received(self, data: bytes) -> None:
         try:
             self.parser.feed(data)
-            while (reply := self.parser.next()) is not False:
+            while (reply := self.parser.next_message()) is not resp.NEED_DATA:
                 self.answered(reply)
         except (resp.ProtocolError, IndexError):
             if self.transport is not None:
@@ -158,7 +158,7 @@
                 self.transport.abort()
         elif now - self.last_used > PING_S:
             self.last_used = now
-            self.write(resp.command(b"PING"), Call(None, now))
+            self.write(resp.encode_command(b"PING"), Call(None, now))
 
     def retire(self) -> None:
         """No new calls come; those that are out end first. The silence of a peer ends them too."""
@@ -217,13 +217,13 @@
         link.last_used = now
         ttl = max(1, min(60_000, round(ttl_ms)))
         # A name in decimal is the same at every gateway; the module rounds amounts to three places.
-        link.write(resp.command(b"INCRTTL", b"%d" % name, b"%.3f" % amount, b"%d" % ttl), call)
+        link.write(resp.encode_command(b"INCRTTL", b"%d" % name, b"%.3f" % amount, b"%d" % ttl), call)
 
     def expire(self, call: Call, link: Link) -> None:
         """No answer in time. The call keeps its place in the line: its reply will still come, unless one that
         has no end stands before it."""
         call.end(self.loop.time(), CallOutcome.TIMEOUT)
-        if link.parser.rest() and link.transport is not None:
+        if link.parser.buffered_bytes() and link.transport is not None:
             link.transport.abort()
 
     def close(self) -> None:
--- /dev/null
+++ b/quota_gateway/network/load_report.py
@@ -0,0 +1,55 @@
+"""Load reports: the figures on its own queue and work that a server attaches to a response.
+
+A report is text such as `inflight=7,queue=2.5`. It comes as the third element of a response, or as the last
+word of an error.
+"""
+
+from __future__ import annotations
+
+import math
+import re
+from typing import NamedTuple
+
+MAX_REPORT_BYTES = 256
+MAX_PLAUSIBLE_REQUESTS = 100_000.0  # at one server; a report of more is taken for corrupt
+
+_QUEUE_FIELDS = (b"queue", b"waiting")
+_ACTIVE_FIELDS = (b"inflight", b"active")
+_NUMBER = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
+_REPORT = re.compile(r"[a-z_0-9]+=[0-9.]+(,[a-z_0-9]+=[0-9.]+)*")
+
+
+class LoadReport(NamedTuple):
+    """Requests at a server. None stands for a figure that is absent or unreadable."""
+
+    queue_length: float | None = None
+    active_requests: float | None = None
+
+
+NO_REPORT = LoadReport()
+
+
+def is_load_report(word: str) -> bool:
+    """Tell whether the last word of an error is a load report rather than part of the error's text."""
+    return _REPORT.fullmatch(word) is not None
+
+
+def parse_load_report(text: bytes | None) -> LoadReport:
+    """Read a load report.
+
+    Figures that are unreadable or implausible count as absent: a single `nan` would stay in the policy's
+    moving averages for good.
+    """
+    if not text or len(text) > MAX_REPORT_BYTES:
+        return NO_REPORT
+    queue_length = active_requests = None
+    for field in text.split(b","):
+        name, _, digits = field.partition(b"=")
+        value = float(digits) if _NUMBER.fullmatch(digits) else math.inf
+        if value > MAX_PLAUSIBLE_REQUESTS:
+            continue
+        if name in _QUEUE_FIELDS:
+            queue_length = value
+        elif name in _ACTIVE_FIELDS:
+            active_requests = value
+    return LoadReport(queue_length, active_requests)
--- a/quota_gateway/network/resp.py
+++ b/quota_gateway/network/resp.py
@@ -1,139 +1,169 @@
-"""RESP2: encoding, and strictness round hiredis' parser.
+"""RESP2, the wire protocol towards clients, servers and the counter: an incremental parser and encoders.
 
-hiredis takes any two bytes for the end of a bulk string, makes room for whatever number of elements an array
-announces, and has no limit on what it buffers. A message is thus handed to it only once it is known to be
-whole, well-formed and within the limits.
+The parser is stricter than hiredis, on which it rests. hiredis accepts any two bytes as the end of a bulk
+string, allocates whatever number of elements an array announces, and buffers without limit. A message is
+therefore handed to hiredis only once it is known to be complete, well-formed and within the limits below.
 """
 
 from __future__ import annotations
 
 import re
-from typing import Any
+from enum import Enum
+from typing import Any, Final
 
 import hiredis
 
-MAX_VALUE = 64 * 1024  # the longest value that the protocol allows
-MAX_PENDING = 2 * MAX_VALUE  # bytes of one message that may wait for its end
-MAX_LINE = 1024  # of a status or an error
-MAX_HEAD = 24  # of the line that tells a length, or a number
-MAX_FRAMES = 99  # elements of an array; the protocol's own have five at most
-MAX_DEPTH = 2  # arrays in an array: figures on use
+MAX_BULK_BYTES = 64 * 1024  # the longest value that the protocol allows
+MAX_MESSAGE_BYTES = 2 * MAX_BULK_BYTES  # bytes buffered for one incomplete message
+MAX_STATUS_BYTES = 1024  # a status or error line
+MAX_HEADER_BYTES = 24  # a line that holds a length or an integer
+MAX_ARRAY_ITEMS = 99  # the protocol's own arrays have five items at most
+MAX_ARRAY_DEPTH = 2  # a server's response holds one nested array: the usage figures
+MAX_ERROR_TEXT = 200  # characters of an error text that we send
 
 PONG = b"+PONG\r\n"
 OK = b"+OK\r\n"
 FAILED = b"-ERR failed\r\n"
 ReplyError = hiredis.ReplyError
-INTEGER = re.compile(rb"-?(0|[1-9][0-9]{0,17})")
-STATUS, ERROR, NUMBER, BULK, ARRAY = b"+-:$*"
 
+_INTEGER = re.compile(rb"-?(0|[1-9][0-9]{0,17})")
+_STATUS, _ERROR, _NUMBER, _BULK, _ARRAY = b"+-:$*"
 
-class ProtocolError(Exception):
-    """Bytes that are not RESP, or more of them than a message may have."""
 
+class NeedData(Enum):
+    """The type of `NEED_DATA`."""
 
-def line(raw: bytes, at: int, most: int) -> int:
-    """Where the line at `at` ends, its line break included; 0 if that has not come."""
-    end = raw.find(b"\n", at, at + most + 2)
-    if end < 0:
-        if len(raw) - at > most:
-            raise ProtocolError("line too long")
-        return 0
-    if raw.find(b"\r", at, end) != end - 1:
-        raise ProtocolError("bad end of a line")
-    return end + 1
+    NEED_DATA = "need_data"
 
 
-def integer(raw: bytes, at: int, end: int) -> int:
-    """The number of a line."""
-    if INTEGER.fullmatch(raw, at + 1, end - 2) is None:
-        raise ProtocolError("bad number")
-    return int(raw[at + 1 : end - 2])
+NEED_DATA: Final = NeedData.NEED_DATA  # a parser's answer while a message is incomplete
 
 
-def frame(raw: bytes, at: int, depth: int = 0) -> int:
-    """Where the message at `at` ends; 0 if its end has not come."""
-    if at >= len(raw):
-        return 0
-    kind = raw[at]
-    if kind in (STATUS, ERROR) and not depth:
-        return line(raw, at, MAX_LINE)
-    if kind not in (NUMBER, BULK, ARRAY):
-        raise ProtocolError("not RESP")
-    end = line(raw, at, MAX_HEAD)
-    if not end:
-        return 0
-    count = integer(raw, at, end)
-    if kind == NUMBER or count == -1:
-        return end
-    if kind == ARRAY:
-        if not 0 <= count <= MAX_FRAMES or depth >= MAX_DEPTH:
-            raise ProtocolError("too many elements")
-        for _ in range(count):
-            end = frame(raw, end, depth + 1)
-            if not end:
-                return 0
-        return end
-    if not 0 <= count <= MAX_VALUE:
-        raise ProtocolError("value too long")
-    end += count
-    if raw[end : end + 2] not in (b"\r\n", b"\r", b""):
-        raise ProtocolError("a value that is longer than announced")
-    return end + 2 if len(raw) >= end + 2 else 0
+class ProtocolError(Exception):
+    """The peer sent bytes that are not RESP2, or a message beyond the limits. The stream can't be resumed."""
 
 
 class Parser:
-    """One direction of a connection: bytes in, whole messages out."""
+    """Incremental parser for one direction of a connection: bytes in, complete messages out."""
 
-    __slots__ = ("_at", "_raw")
+    __slots__ = ("_buffer", "_position")
 
     def __init__(self) -> None:
-        self._raw, self._at = b"", 0
+        self._buffer, self._position = b"", 0
 
     def feed(self, data: bytes) -> None:
-        """Takes bytes as they came."""
-        self._raw = self._raw[self._at :] + data if self._at < len(self._raw) else data
-        self._at = 0
-
-    def next(self) -> Any:
-        """The next whole message, or False if its end has not come yet. A status is a `str`."""
-        start, end = self._at, frame(self._raw, self._at)
+        """Buffer bytes as they were received."""
+        if self._position < len(self._buffer):
+            self._buffer = self._buffer[self._position :] + data
+        else:
+            self._buffer = data
+        self._position = 0
+
+    def next_message(self) -> Any:
+        """Return the next complete message, or `NEED_DATA`.
+
+        A status comes as `str`, a bulk string as `bytes`, an integer as `int`, an array as `list`, a null as
+        None, an error as a `ReplyError` that is returned, not raised. Raises `ProtocolError`.
+        """
+        start, end = self._position, _message_end(self._buffer, self._position)
         if not end:
-            if len(self._raw) - start > MAX_PENDING:
+            if len(self._buffer) - start > MAX_MESSAGE_BYTES:
                 raise ProtocolError("message too large")
-            return False
-        self._at = end
-        if self._raw[start] == STATUS:
-            return self._raw[start + 1 : end - 2].decode("ascii", "replace")
+            return NEED_DATA
+        self._position = end
+        if self._buffer[start] == _STATUS:
+            return self._buffer[start + 1 : end - 2].decode("ascii", "replace")
         reader = hiredis.Reader()
-        reader.feed(self._raw, start, end - start)
-        if end == len(self._raw):
-            self._raw, self._at = b"", 0  # an idle connection holds on to nothing
+        reader.feed(self._buffer, start, end - start)
+        if end == len(self._buffer):
+            self._buffer, self._position = b"", 0  # an idle connection keeps no buffer alive
         try:
             return reader.gets()
         except hiredis.ProtocolError as error:
             raise ProtocolError(str(error)) from None
 
-    def rest(self) -> int:
-        """How many bytes wait behind the last message."""
-        return len(self._raw) - self._at
+    def buffered_bytes(self) -> int:
+        """Return how many bytes follow the last message returned."""
+        return len(self._buffer) - self._position
+
+
+def _message_end(buffer: bytes, position: int, depth: int = 0) -> int:
+    """Return where the message at `position` ends, or 0 if it is incomplete."""
+    if position >= len(buffer):
+        return 0
+    kind = buffer[position]
+    if kind in (_STATUS, _ERROR) and not depth:
+        return _line_end(buffer, position, MAX_STATUS_BYTES)
+    if kind not in (_NUMBER, _BULK, _ARRAY):
+        raise ProtocolError("not RESP")
+    end = _line_end(buffer, position, MAX_HEADER_BYTES)
+    if not end:
+        return 0
+    count = _line_integer(buffer, position, end)
+    if kind == _NUMBER or count == -1:
+        return end
+    if kind == _ARRAY:
+        return _array_end(buffer, end, count, depth)
+    return _bulk_end(buffer, end, count)
+
+
+def _array_end(buffer: bytes, position: int, count: int, depth: int) -> int:
+    """Return where an array of `count` items ends whose first item is at `position`, or 0."""
+    if not 0 <= count <= MAX_ARRAY_ITEMS or depth >= MAX_ARRAY_DEPTH:
+        raise ProtocolError("too many elements")
+    end = position
+    for _ in range(count):
+        end = _message_end(buffer, end, depth + 1)
+        if not end:
+            return 0
+    return end
+
+
+def _bulk_end(buffer: bytes, position: int, length: int) -> int:
+    """Return where a bulk string of `length` bytes ends whose content is at `position`, or 0."""
+    if not 0 <= length <= MAX_BULK_BYTES:
+        raise ProtocolError("value too long")
+    end = position + length
+    if buffer[end : end + 2] not in (b"\r\n", b"\r", b""):
+        raise ProtocolError("a value that is longer than announced")
+    return end + 2 if len(buffer) >= end + 2 else 0
+
+
+def _line_end(buffer: bytes, position: int, limit: int) -> int:
+    """Return where the line at `position` ends, line break included, or 0 if that has not arrived."""
+    end = buffer.find(b"\n", position, position + limit + 2)
+    if end < 0:
+        if len(buffer) - position > limit:
+            raise ProtocolError("line too long")
+        return 0
+    if buffer.find(b"\r", position, end) != end - 1:
+        raise ProtocolError("bad end of a line")
+    return end + 1
+
+
+def _line_integer(buffer: bytes, position: int, end: int) -> int:
+    """Return the integer of the line from `position`, its type byte, to `end`."""
+    if _INTEGER.fullmatch(buffer, position + 1, end - 2) is None:
+        raise ProtocolError("bad number")
+    return int(buffer[position + 1 : end - 2])
 
 
-def bulk(value: bytes) -> bytes:
-    """A bulk string."""
+def encode_bulk(value: bytes) -> bytes:
+    """Encode a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
-def command(*parts: bytes) -> bytes:
-    """A command: an array of bulk strings."""
-    return b"*%d\r\n%b" % (len(parts), b"".join([bulk(part) for part in parts]))
+def encode_command(*words: bytes) -> bytes:
+    """Encode a command: an array of bulk strings."""
+    return b"*%d\r\n%b" % (len(words), b"".join([encode_bulk(word) for word in words]))
 
 
-def busy(retry_after_ms: float) -> bytes:
-    """A refusal; the time is rounded up, so that nobody is told to come back too early."""
+def encode_busy(retry_after_ms: float) -> bytes:
+    """Encode a rejection, with Retry-After if positive, rounded up to whole milliseconds."""
     return b"-BUSY %d\r\n" % -int(-retry_after_ms // 1) if retry_after_ms > 0 else b"-BUSY\r\n"
 
 
-def error(text: str) -> bytes:
-    """An error line; line breaks and what is not ASCII can't stand in it."""
-    clean = "".join(c if " " <= c <= "~" else "?" for c in text)[:200]
+def encode_error(text: str) -> bytes:
+    """Encode an error. Control and non-ASCII characters become `?`; long text is cut."""
+    clean = "".join(c if " " <= c <= "~" else "?" for c in text)[:MAX_ERROR_TEXT]
     return b"-ERR " + clean.encode() + b"\r\n"
--- a/quota_gateway/network/server_pool.py
+++ b/quota_gateway/network/server_pool.py
@@ -1,400 +1,185 @@
-"""Connections to the servers: a pool for each, and each attempt's one ending.
+"""Connection pools: one for each server, all within one limit of sockets.
 
-A connection carries one request at a time. The pool hands out the most recently used one, so that those a
-burst has opened grow idle and are closed before the server would close them under a request.
+A pool hands out the connection that was used last. The others of a burst thus grow idle, and are closed
+before the server would close them under a request.
 """
 
 from __future__ import annotations
 
 import asyncio
-import re
-from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
 
-from quota_gateway.network import resp
-from quota_gateway.network.socket_poll import waits
-from quota_gateway.policy_api.events import CallOutcome
+from quota_gateway.network.server_connection import ServerConnection
+from quota_gateway.network.socket_poll import has_unread_bytes
 
-GRACE_MARGIN_S = 0.05  # a write this close to a drain's end might leave the machine after it
-IDLE_MARGIN_S = 2.0  # idle connections are closed this long before the server would do so
-SWEEP_S = 1.0
-
-SETTLE_S = 0.03  # an answered connection is not used again before this: see `Pool.take`
-STALL_S = 0.25  # an answer that has begun and stops for this long does not go on
-LOAD = re.compile(r"[a-z_0-9]+=[0-9.]+(,[a-z_0-9]+=[0-9.]+)*")
+DRAIN_MARGIN_S = 0.05  # a request written this close to the end of a drain's grace might arrive after it
+IDLE_MARGIN_S = 2.0  # idle connections are closed this long before the server would close them
+EXPIRY_INTERVAL_S = 1.0  # idle connections are checked this often
+SETTLE_S = 0.03  # a connection rests this long after a response: see `ServerPool.acquire`
 
 Address = tuple[str, int]
 
 
-def idle_s(closed_s: float) -> float:
-    """How long a connection may stand idle that the server closes after a time: always less than that."""
-    return closed_s - min(IDLE_MARGIN_S, 0.5 * closed_s)
+def idle_limit_s(server_idle_timeout_s: float) -> float:
+    """Return how long a connection may be idle, given the server's own time-out; always less than that."""
+    return server_idle_timeout_s - min(IDLE_MARGIN_S, 0.5 * server_idle_timeout_s)
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
-    """What the settings allow, in seconds."""
-
-    connect_s: float
-    idle_s: float
-    grace_s: float
-    connections: int
-
-
-@dataclass(slots=True)
-class Result:
-    """How an attempt ended; `sound` where the connection can be used again."""
-
-    ending: CallOutcome
-    value: bytes | None = None
-    report: bytes | None = None
-    sound: bool = False
-
-
-def classify(reply: Any) -> Result:
-    """A server's reply as PROTOCOL's table reads it. Only the exact forms count: what was spoilt on its way
-    has run, so it must neither be served nor pass for a request that never ran."""
-    if isinstance(reply, list) and len(reply) == 3 and isinstance(reply[0], bytes):
-        return Result(CallOutcome.OK, reply[0], reply[2] if isinstance(reply[2], bytes) else None, True)
-    if isinstance(reply, resp.ReplyError):
-        text, _, last = str(reply).rpartition(" ")
-        report = last.encode() if LOAD.fullmatch(last) else None
-        if report is None:
-            text = str(reply)
-        if text == "BUSY":
-            return Result(CallOutcome.REJECTED, None, report, True)
-        return Result(CallOutcome.ERROR, None, report, text == "ERR failed")
-    return Result(CallOutcome.ERROR)
-
-
-class Connection(asyncio.Protocol):
-    """One connection; `attempt` is the one whose request is out on it."""
-
-    __slots__ = ("attempt", "idle_since", "parser", "pool", "stall", "transport")
-
-    def __init__(self, pool: Pool) -> None:
-        self.pool = pool
-        self.parser = resp.Parser()
-        self.attempt: Attempt | None = None
-        self.transport: asyncio.Transport | None = None
-        self.idle_since = 0.0
-        self.stall: asyncio.TimerHandle | None = None  # runs while an answer has come in part
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = transport  # type: ignore[assignment]
-        self.pool.open.add(self)
-
-    def data_received(self, data: bytes) -> None:
-        attempt = self.attempt
-        if attempt is None or attempt.result is not None:
-            self.abort()  # bytes that nobody asked for: replies no longer pair with requests here
-            return
-        if self.stall is not None:
-            self.stall.cancel()
-            self.stall = None
-        try:
-            self.parser.feed(data)
-            reply = self.parser.next()
-        except resp.ProtocolError:
-            self.spoilt()
-            return
-        if reply is False:
-            # A length that does not fit leaves an answer without an end, on a connection that stays open.
-            self.stall = self.pool.servers.loop.call_later(STALL_S, self.spoilt)
-            return
-        result = classify(reply)
-        sound = result.sound and not self.parser.rest()
-        if not sound and result.ending is not CallOutcome.OK:
-            self.spoilt()
-            return
-        self.attempt = None
-        if sound:
-            self.pool.give_back(self)
-        else:
-            self.abort()  # a good answer with more behind it is served, but nothing pairs here any more
-        attempt.finish(result)
-
-    def spoilt(self) -> None:
-        """What came is no answer, but the request may have run."""
-        if self.attempt is not None and self.attempt.result is None:
-            self.attempt.result = Result(CallOutcome.ERROR)
-        self.abort()
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        if self.stall is not None:
-            self.stall.cancel()
-        self.pool.forget(self)
-        attempt, self.attempt = self.attempt, None
-        if attempt is not None:
-            # uvloop closes the socket only after this call. The ending may start another attempt, which must
-            # not reach a server while this one is still out, so it is told in the loop's next round.
-            # The request was handed to the kernel whole, or may have been: reset, never "did not run".
-            result = attempt.result or Result(CallOutcome.RESET)
-            self.pool.servers.loop.call_soon(attempt.finish, result)
-
-    def abort(self) -> None:
-        """Closes the connection now; what is out on it ends in `connection_lost`."""
-        if self.transport is not None:
-            self.transport.abort()
-
-
-class Pool:
-    """The connections to one server."""
-
-    __slots__ = ("address", "idle", "open", "servers", "stop_at")
-
-    def __init__(self, servers: Servers, address: Address) -> None:
-        self.servers = servers
+class PoolLimits:
+    """Limits from the settings, for all pools."""
+
+    connect_timeout_s: float
+    idle_s: float  # a connection idle for longer is not used any more
+    drain_grace_s: float  # a server that drains takes requests for this long
+    max_connections: int  # over all servers
+
+
+class ServerPool:
+    """The connections to one server at one address."""
+
+    __slots__ = ("address", "connections", "idle", "owner", "write_deadline")
+
+    def __init__(self, owner: ServerPools, address: Address) -> None:
+        self.owner = owner
         self.address = address
-        self.idle: list[Connection] = []  # the most recently used one last
-        self.open: set[Connection] = set()
-        self.stop_at: float | None = None  # nothing may be written from then on: it drains or is gone
-
-    def take(self) -> Connection | None:
-        """The most recently used idle connection that can be trusted: neither so old that the server may be
-        closing it, nor so fresh that more than belongs to the last answer, or the end of the connection, may
-        be on its way. A request written there would get another's value or be reset. What has come and was
-        not read yet, in a turn of the loop that lasts, is as bad."""
-        now = self.servers.loop.time()
-        for at in range(len(self.idle) - 1, -1, -1):
-            conn = self.idle[at]
-            if now - conn.idle_since < SETTLE_S:
+        self.idle: list[ServerConnection] = []  # least recently used first
+        self.connections: set[ServerConnection] = set()  # all that are established
+        # The loop's time after which nothing is written; None while the server is active.
+        self.write_deadline: float | None = None
+
+    def writable(self) -> bool:
+        """Tell whether requests may still be written to the server."""
+        return self.write_deadline is None or self.owner.loop.time() <= self.write_deadline
+
+    def acquire(self) -> ServerConnection | None:
+        """Take the most recently used idle connection that is safe to write on, or None.
+
+        Unsafe are connections that the server may be closing for idleness, and those whose last response was
+        so recent that surplus bytes or the end of the stream may still be on their way: a request written
+        there would receive another request's value, or be reset. The same holds where something has arrived
+        that the loop has not read yet.
+        """
+        now = self.owner.loop.time()
+        for index in range(len(self.idle) - 1, -1, -1):
+            connection = self.idle[index]
+            if now - connection.idle_since < SETTLE_S:
                 continue
-            del self.idle[at]
-            if conn.transport is None or conn.transport.is_closing():
+            del self.idle[index]
+            if connection.transport is None or connection.transport.is_closing():
                 continue
-            if now - conn.idle_since < self.servers.limits.idle_s and not waits(conn.transport):
-                return conn
-            conn.abort()
+            expired = now - connection.idle_since >= self.owner.limits.idle_s
+            if not expired and not has_unread_bytes(connection.transport):
+                return connection
+            connection.abort()
         return None
 
-    def give_back(self, conn: Connection) -> None:
-        """Keeps a connection whose request was answered, unless the server takes nothing new."""
-        if self.stop_at is not None or conn.transport is None or conn.transport.is_closing():
-            conn.abort()
+    def add(self, connection: ServerConnection) -> None:
+        """Count a connection that has been established."""
+        self.connections.add(connection)
+
+    def release(self, connection: ServerConnection) -> None:
+        """Make a connection idle after its response, or close it if the server is draining."""
+        closing = connection.transport is None or connection.transport.is_closing()
+        if self.write_deadline is not None or closing:
+            connection.abort()
             return
-        conn.idle_since = self.servers.loop.time()
-        self.idle.append(conn)
-
-    def forget(self, conn: Connection) -> None:
-        """Drops a connection that is closed."""
-        self.open.discard(conn)
-        if conn in self.idle:
-            self.idle.remove(conn)
-
-    def close_idle(self, before: float | None = None) -> None:
-        """Closes idle connections, all of them or those unused since a moment."""
-        kept = [] if before is None else [conn for conn in self.idle if conn.idle_since > before]
-        closing = [conn for conn in self.idle if conn not in kept]
+        connection.idle_since = self.owner.loop.time()
+        self.idle.append(connection)
+
+    def discard(self, connection: ServerConnection) -> None:
+        """Forget a connection that is closed."""
+        self.connections.discard(connection)
+        if connection in self.idle:
+            self.idle.remove(connection)
+
+    def close_idle(self, unused_since: float | None = None) -> None:
+        """Close idle connections: all, or those last used at or before a time of the loop."""
+        kept: list[ServerConnection] = []
+        if unused_since is not None:
+            kept = [connection for connection in self.idle if connection.idle_since > unused_since]
+        closing = [connection for connection in self.idle if connection not in kept]
         self.idle = kept
-        for conn in closing:
-            conn.abort()
-
-    def stop(self) -> None:
-        """The server drains or is gone: the grace runs from the first word of it."""
-        if self.stop_at is None:
-            self.stop_at = self.servers.loop.time() + self.servers.limits.grace_s - GRACE_MARGIN_S
+        for connection in closing:
+            connection.abort()
+
+    def drain(self) -> None:
+        """Close idle connections and stop writing once the grace is over, which the first call starts."""
+        if self.write_deadline is None:
+            grace_s = self.owner.limits.drain_grace_s - DRAIN_MARGIN_S
+            self.write_deadline = self.owner.loop.time() + grace_s
         self.close_idle()
 
 
-class Attempt:
-    """One request on its way to one server, from `Send` to its one ending."""
-
-    __slots__ = (
-        "conn",
-        "connect_timer",
-        "done",
-        "ended",
-        "payload",
-        "pool",
-        "result",
-        "started",
-        "task",
-        "timer",
-        "until",
-        "written",
-    )
-
-    def __init__(
-        self, pool: Pool, payload: Callable[[int], bytes], timeout_s: float, done: Callable[[Result], None]
-    ) -> None:
-        loop = pool.servers.loop
-        self.pool = pool
-        self.payload = payload  # makes the command, given the milliseconds left
-        self.done = done
-        self.started = loop.time()
-        self.until = self.started + timeout_s
-        self.result: Result | None = None  # set while the connection closes for a reason of ours
-        self.ended = False
-        self.written = False
-        self.conn: Connection | None = None
-        self.task: asyncio.Task[None] | None = None
-        self.connect_timer: asyncio.TimerHandle | None = None
-        self.timer: asyncio.TimerHandle | None = None
-
-    def start(self) -> None:
-        """Writes at once on an idle connection, else opens one."""
-        servers = self.pool.servers
-        self.timer = servers.loop.call_at(self.until, self.stop, CallOutcome.TIMEOUT)
-        conn = self.pool.take()
-        if conn is not None:
-            self.write(conn)
-        elif not servers.make_room():
-            self.finish(Result(CallOutcome.UNREACHABLE))
-        else:
-            servers.connecting += 1
-            self.task = servers.loop.create_task(self.connect())
-            self.connect_timer = servers.loop.call_later(servers.limits.connect_s, self.no_connection)
-
-    async def connect(self) -> None:
-        """Opens a connection; a task, but only where no connection is there to reuse."""
-        servers, pool = self.pool.servers, self.pool
-        host, port = pool.address
-        conn = Connection(pool)
-        try:
-            await servers.loop.create_connection(lambda: conn, host, port)
-        except OSError:
-            self.no_connection()
-            return
-        finally:
-            servers.connecting -= 1
-        self.task = None
-        if self.ended:
-            conn.abort()  # came up too late: its request has an ending already and must not be written
-        elif pool.stop_at is not None and servers.loop.time() > pool.stop_at:
-            conn.abort()  # the drain's grace ended while this connection came up
-            self.finish(Result(CallOutcome.UNREACHABLE))
-        else:
-            self.write(conn)
-
-    def write(self, conn: Connection) -> None:
-        """Writes the request; from here on it may have run."""
-        if self.connect_timer is not None:
-            self.connect_timer.cancel()
-        left = int(1000.0 * (self.until - self.pool.servers.loop.time()))
-        if left < 1 or conn.transport is None or conn.transport.is_closing():
-            conn.abort()
-            self.finish(Result(CallOutcome.UNREACHABLE))
-            return
-        self.conn, self.written = conn, True
-        conn.attempt = self
-        conn.transport.write(self.payload(left))
-
-    def no_connection(self) -> None:
-        """The connection was refused or did not come up in time."""
-        self.drop_connect()
-        self.finish(Result(CallOutcome.UNREACHABLE))
-
-    def drop_connect(self) -> None:
-        """Gives up a connection that is coming up."""
-        if self.task is not None and self.task is not asyncio.current_task(self.pool.servers.loop):
-            self.task.cancel()
-        self.task = None
-
-    def stop(self, ending: CallOutcome) -> None:
-        """A time-out or a cancel. The ending is told once the connection is closed."""
-        if self.ended or self.result is not None:
-            return
-        if self.conn is None:
-            self.drop_connect()
-            # Nothing was written: it can't have run. A cancel says nothing of the server.
-            self.finish(
-                Result(CallOutcome.UNREACHABLE if ending is CallOutcome.TIMEOUT else CallOutcome.NOT_SENT)
-            )
-        else:
-            if ending is CallOutcome.TIMEOUT:
-                # A machine that vanished says nothing, and resets what it finds open once it is back. Its
-                # other connections, unused for as long as this attempt, would then turn requests that never
-                # ran into resets, after which an unsafe one can't be tried again.
-                self.pool.close_idle(self.started)
-            self.result = Result(ending)
-            self.conn.abort()
-
-    def finish(self, result: Result) -> None:
-        """The one ending; later ones are dropped."""
-        if self.ended:
-            return
-        self.ended = True
-        for timer in (self.timer, self.connect_timer):
-            if timer is not None:
-                timer.cancel()
-        self.timer = self.connect_timer = None
-        self.conn = None
-        self.done(result)
-
-
-class Servers:
-    """All pools, by the servers' ids."""
+class ServerPools:
+    """The pools of all servers, by server id."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, limits: Limits) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, limits: PoolLimits) -> None:
         self.loop = loop
         self.limits = limits
-        self.pools: dict[str, Pool] = {}
-        self.leaving: set[Pool] = set()  # no longer listed, with connections open
-        self.connecting = 0
-        self.sweeper = loop.call_later(SWEEP_S, self.sweep)
-
-    def listed(self, server: str, address: Address, started_anew: bool) -> None:
-        """A server that takes work."""
-        pool = self.pools.get(server)
-        if pool is None or pool.stop_at is not None or pool.address != address:
+        self.pools: dict[str, ServerPool] = {}
+        self.removed: set[ServerPool] = set()  # pools of servers no longer listed, with connections in use
+        self.connecting = 0  # connections being established
+        self.expiry_timer = loop.call_later(EXPIRY_INTERVAL_S, self.close_expired)
+
+    def activate(self, server_id: str, address: Address, restarted: bool) -> None:
+        """Have a pool for a server that takes requests; a moved or formerly draining one gets a new pool."""
+        pool = self.pools.get(server_id)
+        if pool is None or pool.write_deadline is not None or pool.address != address:
             if pool is not None:
-                self.leaving.add(pool)
-                pool.stop()
-            self.pools[server] = Pool(self, address)
-        elif started_anew:
-            pool.close_idle()  # they lead to the process that ended
-
-    def stopped(self, server: str) -> None:
-        """A server that drains: nothing new, what is out may finish."""
-        pool = self.pools.get(server)
+                self._retire(pool)
+            self.pools[server_id] = ServerPool(self, address)
+        elif restarted:
+            pool.close_idle()  # these connections lead to the process that ended
+
+    def drain(self, server_id: str) -> None:
+        """Stop using a server once the grace is over; requests in flight may finish."""
+        pool = self.pools.get(server_id)
         if pool is not None:
-            pool.stop()
+            pool.drain()
 
-    def gone(self, server: str) -> None:
-        """A server that left the list."""
-        pool = self.pools.pop(server, None)
+    def remove(self, server_id: str) -> None:
+        """Forget a server that is no longer listed; requests in flight may finish."""
+        pool = self.pools.pop(server_id, None)
         if pool is not None:
-            pool.stop()
-            self.leaving.add(pool)
+            self._retire(pool)
+
+    def _retire(self, pool: ServerPool) -> None:
+        self.removed.add(pool)
+        pool.drain()
+
+    def writable_pool(self, server_id: str) -> ServerPool | None:
+        """Return the server's pool, or None if the server is not listed or takes no more requests."""
+        pool = self.pools.get(server_id)
+        return pool if pool is not None and pool.writable() else None
 
-    def count(self) -> int:
-        """Sockets in use."""
-        pools = [*self.pools.values(), *self.leaving]
-        return self.connecting + sum(len(pool.open) for pool in pools)
+    def socket_count(self) -> int:
+        """Return the number of sockets in use, connections being established included."""
+        pools = [*self.pools.values(), *self.removed]
+        return self.connecting + sum(len(pool.connections) for pool in pools)
 
     def make_room(self) -> bool:
-        """Whether one more connection may be opened; the longest idle one is closed for it if need be."""
-        if self.count() < self.limits.connections:
+        """Tell whether a connection may be opened; at the limit, close the longest idle one for it."""
+        if self.socket_count() < self.limits.max_connections:
             return True
         pools = [pool for pool in self.pools.values() if pool.idle]
         if not pools:
             return False
-        pool = min(pools, key=lambda p: p.idle[0].idle_since)
+        pool = min(pools, key=lambda candidate: candidate.idle[0].idle_since)
         pool.idle.pop(0).abort()
         return True
 
-    def attempt(
-        self, server: str, payload: Callable[[int], bytes], timeout_s: float, done: Callable[[Result], None]
-    ) -> Attempt | None:
-        """Makes an attempt, not started yet; None if the server takes nothing (any more)."""
-        pool = self.pools.get(server)
-        if pool is None or (pool.stop_at is not None and self.loop.time() > pool.stop_at):
-            return None
-        return Attempt(pool, payload, timeout_s, done)
-
-    def sweep(self) -> None:
-        """Closes what has stood idle before the server does, and forgets pools that have emptied."""
-        self.sweeper = self.loop.call_later(SWEEP_S, self.sweep)
-        before = self.loop.time() - self.limits.idle_s
+    def close_expired(self) -> None:
+        """Close connections idle for too long and forget removed pools that are empty; runs periodically."""
+        self.expiry_timer = self.loop.call_later(EXPIRY_INTERVAL_S, self.close_expired)
+        unused_since = self.loop.time() - self.limits.idle_s
         for pool in self.pools.values():
-            pool.close_idle(before)
-        self.leaving = {pool for pool in self.leaving if pool.open}
+            pool.close_idle(unused_since)
+        self.removed = {pool for pool in self.removed if pool.connections}
 
     def close(self) -> None:
-        """Closes everything, at the end of the process."""
-        self.sweeper.cancel()
-        for pool in [*self.pools.values(), *self.leaving]:
-            for conn in list(pool.open):
-                conn.abort()
+        """Close all connections, at the end of the process."""
+        self.expiry_timer.cancel()
+        for pool in [*self.pools.values(), *self.removed]:
+            for connection in list(pool.connections):
+                connection.abort()
--- a/quota_gateway/network/socket_poll.py
+++ b/quota_gateway/network/socket_poll.py
@@ -1,4 +1,8 @@
-"""What the kernel holds of a connection that the loop has not told: anything may come between two lines."""
+"""What the kernel already knows about a connection and the event loop has not reported yet.
+
+The loop reports data and disconnects once per iteration. A decision taken within an iteration ("is this
+connection still idle?") can therefore be out of date; these functions ask the kernel at that very moment.
+"""
 
 from __future__ import annotations
 
@@ -6,20 +10,23 @@
 import select
 
 
-def polled(transport: asyncio.Transport, events: int) -> bool:
-    """Whether the kernel holds such an event of a connection that the loop has not told yet."""
+def has_unread_bytes(transport: asyncio.Transport) -> bool:
+    """Tell whether data, or the peer's end of stream, waits in the kernel. False on a closing transport."""
+    return _poll_now(transport, select.POLLIN)
+
+
+def peer_closed(transport: asyncio.Transport) -> bool:
+    """Tell whether the peer has closed its side, even with unread data before the end of stream.
+
+    False on a closing transport.
+    """
+    return _poll_now(transport, select.POLLRDHUP)
+
+
+def _poll_now(transport: asyncio.Transport, events: int) -> bool:
+    """Poll the transport's socket for `events` without waiting."""
     if transport.is_closing():
         return False
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), events)
     return bool(poll.poll(0))
-
-
-def waits(transport: asyncio.Transport) -> bool:
-    """Whether bytes, or the end of the connection, have come."""
-    return polled(transport, select.POLLIN)
-
-
-def hung_up(transport: asyncio.Transport) -> bool:
-    """Whether the other end has closed, however much is still to be read before that."""
-    return polled(transport, select.POLLRDHUP)
--- a/tests/network/harness.py
+++ b/tests/network/harness.py
@@ -16,7 +16,9 @@
 import uvloop
 
 from quota_gateway.network.__main__ import Config, Program, build
-from quota_gateway.network.bridge import Decisions
+from quota_gateway.network.bridge import Policy, PolicyBridge
+from quota_gateway.network.listener import Listener
+from quota_gateway.network.server_pool import ServerPools
 from quota_gateway.policy_api.actions import Action, Fail, StartAttempt
 from quota_gateway.policy_api.events import AttemptCompleted, Event, Request
 
@@ -251,6 +253,11 @@
     return decide
 
 
+def forwarding_policy(server: str = "s0") -> ScriptedPolicy:
+    """A policy that sends each request once to one server."""
+    return ScriptedPolicy(forward_to(server))
+
+
 class RunningGateway:
     """A gateway with its peers."""
 
@@ -263,6 +270,18 @@
         assert server is not None
         return int(server.sockets[0].getsockname()[1])
 
+    @property
+    def listener(self) -> Listener:
+        return self.program.listener
+
+    @property
+    def bridge(self) -> PolicyBridge:
+        return self.program.bridge
+
+    @property
+    def server_pools(self) -> ServerPools:
+        return self.program.server_pools
+
     async def connect_client(self) -> RespClient:
         return await RespClient.connect(self.port)
 
@@ -290,7 +309,7 @@
 @asynccontextmanager
 async def running_gateway(
     *replies: Reply,
-    policy: Decisions | None = None,
+    policy: Policy | None = None,
     counter: Reply | None = None,
     discovery: FakeDiscovery | None = None,
     **changes: Any,
--- /dev/null
+++ b/tests/network/test_attempt.py
@@ -0,0 +1,194 @@
+"""Attempts over loopback sockets: outcomes, retries, cancels, time-outs."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from quota_gateway.policy_api.actions import Action, CancelAttempt, Fail, SetTimer, StartAttempt
+from quota_gateway.policy_api.events import (
+    AttemptCompleted,
+    CallOutcome,
+    Event,
+    Request,
+    TimerFired,
+)
+from tests.network.harness import (
+    CHARGE_FIELDS,
+    CUSTOMER,
+    OK_RESPONSE,
+    READ_FIELDS,
+    Reply,
+    ScriptedPolicy,
+    always_reply,
+    forward_to,
+    forwarding_policy,
+    run_scenario,
+    running_gateway,
+    wait_until,
+)
+
+
+def test_no_request_is_written_on_a_connection_established_after_the_drain_grace() -> None:
+    async def scenario() -> None:
+        script = forwarding_policy()
+        async with running_gateway(always_reply(OK_RESPONSE), policy=script) as gateway:
+            client = await gateway.connect_client()
+            decide, pool = script.decide, gateway.server_pools.pools["s0"]
+
+            def grace_ends() -> None:
+                pool.write_deadline = gateway.program.loop.time() - 1.0
+
+            def and_drain(event: Event) -> list[Action]:
+                if isinstance(event, Request):
+                    pool.drain()  # within its grace as the attempt starts, past it when the connection is up
+                    gateway.program.loop.call_soon(grace_ends)
+                return decide(event)
+
+            script.decide = and_drain
+            client.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
+            assert str(await client.read_reply()) == "ERR failed"
+            assert [e.outcome for e in script.events_of(AttemptCompleted)] == [CallOutcome.UNREACHABLE]
+            assert gateway.servers[0].received_commands() == []
+
+    run_scenario(scenario())
+
+
+def test_a_timeout_closes_connections_idle_since_before_the_attempt() -> None:
+    """The machine may have vanished; its old connections would be reset under the next requests."""
+
+    async def scenario() -> None:
+        async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
+            return None if words[2] == b"mute" else OK_RESPONSE
+
+        def decide(event: Event) -> list[Action]:
+            quick = isinstance(event, Request) and len(script.events_of(Request)) == 3
+            return forward_to("s0", 300.0 if quick else 0.0)(event)
+
+        script = ScriptedPolicy(decide)
+        async with running_gateway(reply, policy=script) as gateway:
+            client = await gateway.connect_client()
+            client.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
+            client.send(b"CALL.GET", CUSTOMER, b"2", READ_FIELDS)
+            assert [await client.read_reply(), await client.read_reply()] == [b"value", b"value"]
+            pool = gateway.server_pools.pools["s0"]
+            for conn in pool.idle:
+                conn.idle_since -= 1.0  # unused since before the attempt
+            assert len(pool.idle) == 2
+            gateway.server_pools.expiry_timer.cancel()  # it would close them too, later
+            assert str(await client.execute(b"CALL.GET", CUSTOMER, b"mute", READ_FIELDS)) == "ERR failed"
+            assert script.events_of(AttemptCompleted)[-1].outcome is CallOutcome.TIMEOUT
+            await wait_until(lambda: not pool.connections)
+
+    run_scenario(scenario())
+
+
+async def hang_up(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
+    writer.close()
+    return None
+
+
+RESPONSES: list[tuple[Reply, CallOutcome]] = [
+    (always_reply(OK_RESPONSE), CallOutcome.OK),
+    (always_reply(b"*3\r\n$0\r\n\r\n*-1\r\n$-1\r\n"), CallOutcome.OK),
+    (always_reply(b"*3\r\n$1\r\nv\r\n*1\r\n:7\r\n:5\r\n"), CallOutcome.OK),
+    (always_reply(OK_RESPONSE + b"noise"), CallOutcome.OK),
+    (always_reply(b"*1\r\n$0\r\n\r\n"), CallOutcome.ERROR),
+    (always_reply(b"*4\r\n$1\r\nv\r\n$-1\r\n$-1\r\n$-1\r\n"), CallOutcome.ERROR),
+    (always_reply(b"*3\r\n$3\r\nvalue\r\n$-1\r\n$-1\r\n"), CallOutcome.ERROR),
+    (always_reply(b"*3\r\n$3\r\nvalXY$-1\r\n$-1\r\n"), CallOutcome.ERROR),
+    (always_reply(b"*3\r\n+value\r\n$-1\r\n$-1\r\n"), CallOutcome.ERROR),
+    (always_reply(b"*3\r\n$3000000000\r\n" + b"x" * 500), CallOutcome.ERROR),
+    (always_reply(b"*3\r\n$50\r\nvalue\r\n$-1\r\n$-1\r\n"), CallOutcome.ERROR),  # and nothing more comes
+    (always_reply(b"*3\r\n*999999999\r\n"), CallOutcome.ERROR),
+    (always_reply(b"-BUSY or not\r\n"), CallOutcome.ERROR),
+    (always_reply(b"-BUSY\r\nnoise"), CallOutcome.ERROR),
+    (always_reply(b"-BUSY queue=3,inflight=9\r\n"), CallOutcome.REJECTED),
+    (always_reply(b"-ERR failed queue=3,inflight=9\r\n"), CallOutcome.ERROR),
+    (always_reply(b"-SYNTAX no\r\n"), CallOutcome.ERROR),
+    (always_reply(b"-BUSY\r\n"), CallOutcome.REJECTED),
+    (always_reply(b"*3\r\n$-1\r\n*-1\r\n$-1\r\n"), CallOutcome.ERROR),
+    (always_reply(b"$5\r\nvalue\r\n"), CallOutcome.ERROR),
+    (always_reply(b"what is this?\r\n"), CallOutcome.ERROR),
+    (hang_up, CallOutcome.RESET),
+    (always_reply(None), CallOutcome.TIMEOUT),
+]
+
+
+@pytest.mark.parametrize(("reply", "ending"), RESPONSES)
+def test_each_response_completes_the_attempt_once_with_its_outcome(reply: Reply, ending: CallOutcome) -> None:
+    async def scenario() -> None:
+        # The time-out is long enough not to cut in where an answer comes, on any machine.
+        script = ScriptedPolicy(forward_to("s0", 200.0 if ending is CallOutcome.TIMEOUT else 0.0))
+        async with running_gateway(reply, policy=script) as gateway:
+            client = await gateway.connect_client()
+            answer = await client.execute(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
+            ended = script.events_of(AttemptCompleted)
+            assert [event.outcome for event in ended] == [ending]
+            assert ended[0].request_completed is (ending is CallOutcome.OK)
+            assert isinstance(answer, bytes) is (ending is CallOutcome.OK)
+            assert ended[0].duration_ms >= 0.0
+
+    run_scenario(scenario())
+
+
+def test_a_refused_connection_is_unreachable() -> None:
+    async def scenario() -> None:
+        script = forwarding_policy()
+        async with running_gateway(always_reply(OK_RESPONSE), policy=script) as gateway:
+            await gateway.servers[0].stop()
+            client = await gateway.connect_client()
+            assert str(await client.execute(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)) == "ERR failed"
+            assert [event.outcome for event in script.events_of(AttemptCompleted)] == [
+                CallOutcome.UNREACHABLE
+            ]
+
+    run_scenario(scenario())
+
+
+def test_a_retry_starts_only_after_the_connection_of_the_first_attempt_is_closed() -> None:
+    """Two copies of a request must never be out together: the time-out is told after the closing."""
+
+    async def scenario() -> None:
+        seen: list[str] = []
+
+        def decide(event: Event) -> list[Action]:
+            if isinstance(event, Request):
+                return [StartAttempt(event.request_id, "s0", 100.0)]
+            if isinstance(event, AttemptCompleted) and not event.request_completed:
+                first = gateway.server_pools.pools["s0"].connections
+                seen.append(f"{event.outcome.value} with {len(first)} open")
+                return [StartAttempt(event.request_id, "s1", 0.0)]
+            return []
+
+        async with running_gateway(
+            always_reply(None), always_reply(OK_RESPONSE), policy=ScriptedPolicy(decide)
+        ) as gateway:
+            client = await gateway.connect_client()
+            assert await client.execute(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS) == b"value"
+            assert seen == ["timeout with 0 open"]
+            await wait_until(lambda: ("closed", 1, []) in gateway.servers[0].log)
+
+    run_scenario(scenario())
+
+
+def test_a_cancelled_attempt_closes_its_connection_and_completes_once() -> None:
+    async def scenario() -> None:
+        def decide(event: Event) -> list[Action]:
+            if isinstance(event, Request):
+                return [StartAttempt(event.request_id, "s0"), SetTimer(5, 0.0)]
+            if isinstance(event, TimerFired):
+                return (
+                    [CancelAttempt("1", 0)] if gateway.servers[0].received_commands() else [SetTimer(5, 0.0)]
+                )
+            return [Fail(event.request_id)] if isinstance(event, AttemptCompleted) else []
+
+        script = ScriptedPolicy(decide)
+        async with running_gateway(always_reply(None), policy=script) as gateway:
+            client = await gateway.connect_client()
+            assert str(await client.execute(b"CALL.POST", CUSTOMER, b"1", CHARGE_FIELDS)) == "ERR failed"
+            assert [event.outcome for event in script.events_of(AttemptCompleted)] == [CallOutcome.CANCELLED]
+            await wait_until(lambda: ("closed", 1, []) in gateway.servers[0].log)
+
+    run_scenario(scenario())
--- /dev/null
+++ b/tests/network/test_client_disconnect.py
@@ -0,0 +1,174 @@
+"""Clients that disconnect while their requests wait: what was not written by then is not sent any more.
+
+Each crossing is forced: a peer holds what the request waits for until the client has gone, then releases it.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Iterator
+from contextlib import contextmanager
+
+import hiredis
+import pytest
+
+from quota_gateway.network.client_connection import (
+    MAX_PENDING_REPLIES,
+)
+from quota_gateway.network.listener import DISCONNECT_POLL_S
+from quota_gateway.policy_api.events import (
+    AttemptCompleted,
+    CallOutcome,
+    ClientDisconnected,
+)
+from tests.network.harness import (
+    CUSTOMER,
+    OK_RESPONSE,
+    READ_FIELDS,
+    FakeDiscovery,
+    Reply,
+    always_reply,
+    endpoint_list_response,
+    forwarding_policy,
+    run_scenario,
+    running_gateway,
+    server_row,
+    wait_until,
+)
+
+
+def test_the_policy_is_notified_of_a_disconnected_client() -> None:
+    async def scenario() -> None:
+        script = forwarding_policy()
+        async with running_gateway(always_reply(None), policy=script) as gateway:
+            client = await gateway.connect_client()
+            client.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
+            await wait_until(lambda: gateway.servers[0].received_commands())
+            client.writer.close()
+            await wait_until(lambda: script.events_of(ClientDisconnected))
+            assert gateway.bridge.in_flight == {}
+
+    run_scenario(scenario())
+
+
+def reply_once_released(release: asyncio.Event) -> Reply:
+    """A server that answers once it may."""
+
+    async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+        await release.wait()
+        return OK_RESPONSE
+
+    return reply
+
+
+@pytest.mark.parametrize("body", [0, 20_000])
+def test_buffered_commands_of_a_disconnected_client_are_not_served(body: int) -> None:
+    """The end of its connection lies behind more commands than may be open, or than are read."""
+
+    async def scenario() -> None:
+        release = asyncio.Event()
+        async with running_gateway(reply_once_released(release), policy=forwarding_policy()) as gateway:
+            client = await gateway.connect_client()
+            for number in range(MAX_PENDING_REPLIES + 8):
+                extra = (b"x" * body,) if body and number >= MAX_PENDING_REPLIES else ()
+                client.send(b"CALL.GET", CUSTOMER, b"%d" % number, READ_FIELDS, *extra)
+            await wait_until(lambda: len(gateway.bridge.in_flight) == MAX_PENDING_REPLIES)
+            (connection,) = gateway.listener.connections
+            await wait_until(lambda: connection.reading_paused or not body)
+            client.writer.close()
+            await wait_until(lambda: not gateway.bridge.in_flight)
+            release.set()
+            await wait_until(lambda: not gateway.bridge.attempts)
+            assert len(gateway.servers[0].received_commands()) <= MAX_PENDING_REPLIES
+            assert DISCONNECT_POLL_S <= 0.05  # nothing is sent on 0.1 s later
+
+    run_scenario(scenario())
+
+
+@contextmanager
+def server_with_full_backlog() -> Iterator[socket.socket]:
+    """A server to which no connection comes up until what fills its queue is accepted."""
+    with socket.socket() as server, socket.socket() as filler:
+        server.bind(("127.0.0.1", 0))
+        server.listen(0)
+        filler.connect(server.getsockname())
+        server.setblocking(False)
+        yield server
+
+
+async def read_second_connection(server: socket.socket) -> bytes:
+    """All that comes on two connections, the filler's and one more, until that one ends."""
+    loop = asyncio.get_running_loop()
+    first, _ = await loop.sock_accept(server)
+    second, _ = await loop.sock_accept(server)
+    data = b""
+    with first, second:
+        second.setblocking(False)
+        while more := await loop.sock_recv(second, 65536):
+            data += more
+    return data
+
+
+def test_no_request_is_written_on_a_connection_established_after_the_disconnect() -> None:
+    async def scenario() -> None:
+        with server_with_full_backlog() as server:
+            port = int(server.getsockname()[1])
+            script = forwarding_policy("s9")
+            discovery = FakeDiscovery(endpoint_list_response(2, [server_row("s9", port)]))
+            async with running_gateway(policy=script, discovery=discovery) as gateway:
+                await wait_until(lambda: "s9" in gateway.server_pools.pools)
+                client = await gateway.connect_client()
+                client.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
+                await wait_until(lambda: gateway.server_pools.connecting)
+                client.writer.close()
+                await wait_until(lambda: script.events_of(ClientDisconnected))
+                coming = asyncio.ensure_future(read_second_connection(server))
+                await wait_until(lambda: script.events_of(AttemptCompleted) or coming.done())
+                # Told as never sent: that a client left says nothing of the server.
+                assert [e.outcome for e in script.events_of(AttemptCompleted)] == [CallOutcome.NOT_SENT]
+                assert not gateway.bridge.attempts
+                assert not gateway.server_pools.pools["s9"].connections
+                coming.cancel()
+
+    run_scenario(scenario())
+
+
+def test_end_of_stream_cancels_the_requests_of_a_client_that_does_not_read() -> None:
+    """Its connection closes only once what was written has left: until then its requests went on."""
+
+    async def scenario() -> None:
+        big = b"*3\r\n$60000\r\n%b\r\n*-1\r\n*-1\r\n" % (b"x" * 60_000)
+        release = asyncio.Event()
+
+        async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+            if words[2] == b"last":
+                await release.wait()
+            return big
+
+        async with running_gateway(reply, policy=forwarding_policy()) as gateway:
+            with socket.create_connection(("127.0.0.1", gateway.port)) as client:
+                client.setblocking(False)
+                await wait_until(lambda: gateway.listener.connections)
+                (connection,) = gateway.listener.connections
+                assert connection.transport is not None
+                connection.transport.get_extra_info("socket").setsockopt(
+                    socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
+                )
+                ids = [b"%d" % number for number in range(60)]
+                packed = b""
+                for request_id in [*ids, b"last"]:
+                    words = (b"CALL.GET", CUSTOMER, request_id, READ_FIELDS)
+                    packed += hiredis.pack_command(words)  # type: ignore[arg-type]
+                client.send(packed)
+                await wait_until(lambda: connection.write_buffer_full and len(gateway.bridge.in_flight) == 1)
+                (request,) = gateway.bridge.in_flight.values()
+                client.shutdown(socket.SHUT_WR)
+                await wait_until(lambda: not gateway.bridge.in_flight)
+                assert (
+                    asyncio.get_running_loop().time() < request.deadline - 5.0
+                )  # not by its time running out
+                assert connection.transport is not None  # what was written still may leave
+                release.set()
+
+    run_scenario(scenario())
--- a/tests/network/test_discovery.py
+++ b/tests/network/test_discovery.py
@@ -290,13 +290,13 @@
         discovery = FakeDiscovery(endpoint_list_response(4, rows))
         script = ScriptedPolicy(lambda event: [])
         async with running_gateway(policy=script, discovery=discovery) as one:
-            await wait_until(lambda: len(discovery.targets) == 2 and "s9" in one.program.servers.pools)
+            await wait_until(lambda: len(discovery.targets) == 2 and "s9" in one.program.server_pools.pools)
             drained = [rows[0], server_row("s9", 81, "Terminating")]
             discovery.answers += [ending, endpoint_list_response(5, drained)]
             if ending is CUT:
                 await wait_until(lambda: one.program.discovery.exchange.status == 200)  # type: ignore[union-attr]
                 discovery.writers[-1].transport.abort()
-            await wait_until(lambda: one.program.servers.pools["s9"].stop_at is not None)
+            await wait_until(lambda: one.program.server_pools.pools["s9"].write_deadline is not None)
             assert discovery.times[2] - discovery.times[1] < 2 * NEAR_S  # a watch and a pause
 
     run_scenario(scenario())
--- /dev/null
+++ b/tests/network/test_graceful_shutdown.py
@@ -0,0 +1,80 @@
+"""Graceful shutdown: requests accepted are answered, whatever they cross."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from quota_gateway.network.__main__ import leave_s
+from tests.network.harness import (
+    CUSTOMER,
+    OK_RESPONSE,
+    READ_FIELDS,
+    Reply,
+    always_reply,
+    forwarding_policy,
+    run_scenario,
+    running_gateway,
+    wait_until,
+)
+
+
+def reply_once_released(release: asyncio.Event) -> Reply:
+    """A server that answers once it may."""
+
+    async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+        await release.wait()
+        return OK_RESPONSE
+
+    return reply
+
+
+def test_requests_that_arrive_after_sigterm_on_open_connections_are_served() -> None:
+    async def scenario() -> None:
+        release = asyncio.Event()
+        async with running_gateway(reply_once_released(release), policy=forwarding_policy()) as gateway:
+            client, silent = await gateway.connect_client(), await gateway.connect_client()
+            client.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
+            await wait_until(
+                lambda: (
+                    len(gateway.servers[0].received_commands()) == 1
+                    and len(gateway.listener.connections) == 2
+                )
+            )
+            server = gateway.listener.server
+            leaving = asyncio.ensure_future(gateway.program.leave())
+            await wait_until(lambda: server is not None and not server.is_serving())
+            client.send(
+                b"CALL.GET", CUSTOMER, b"2", READ_FIELDS
+            )  # behind the first, whose answer is still to come
+            silent.send(
+                b"CALL.GET", CUSTOMER, b"3", READ_FIELDS
+            )  # its connection came before the end, and is new
+            await wait_until(lambda: len(gateway.servers[0].received_commands()) == 3)
+            release.set()
+            assert [await client.read_reply() for _ in range(3)] == [b"value", b"value", None]
+            assert [await silent.read_reply() for _ in range(2)] == [b"value", None]
+            await leaving
+
+    run_scenario(scenario())
+
+
+def test_shut_down_answers_requests_in_flight_and_rejects_later_ones() -> None:
+    async def scenario() -> None:
+        async with running_gateway(always_reply(None), policy=forwarding_policy()) as gateway:
+            client, other = await gateway.connect_client(), await gateway.connect_client()
+            client.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
+            await wait_until(lambda: len(gateway.servers[0].received_commands()) == 1)
+            gateway.bridge.shut_down()
+            assert str(await client.read_reply()) == "ERR failed"  # it may have run
+            assert str(await other.execute(b"CALL.GET", CUSTOMER, b"2", READ_FIELDS)) == "BUSY"
+            assert len(gateway.servers[0].received_commands()) == 1
+            assert not gateway.bridge.in_flight
+
+    run_scenario(scenario())
+
+
+@pytest.mark.parametrize(("longest_ms", "end_s"), [(400.0, 0.6), (1000.0, 1.2), (2500.0, 2.7), (9000.0, 3.2)])
+def test_the_shutdown_ends_before_the_kill_that_the_deadlines_allow(longest_ms: float, end_s: float) -> None:
+    assert leave_s(longest_ms) == pytest.approx(end_s)
--- /dev/null
+++ b/tests/network/test_listener.py
@@ -0,0 +1,100 @@
+"""The listener over loopback sockets: time-outs, the limit of connections, eviction."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+import pytest
+
+from quota_gateway.network import client_connection, listener
+from tests.network.harness import (
+    CUSTOMER,
+    OK_RESPONSE,
+    READ_FIELDS,
+    always_reply,
+    forwarding_policy,
+    run_scenario,
+    running_gateway,
+    wait_until,
+)
+
+
+def test_silent_partial_and_idle_connections_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
+        async with running_gateway(always_reply(None), policy=forwarding_policy()) as gateway:
+            silent, half, idle, busy = [await gateway.connect_client() for _ in range(4)]
+            half.writer.write(b"*2\r\n$4\r\nPI")
+            assert await idle.execute(b"PING") == b"PONG"
+            busy.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
+            assert await silent.closed_by_gateway()
+            assert "did not come" in str(await half.read_reply())
+            assert await half.read_reply() is None
+            assert await idle.closed_by_gateway()
+            assert len(gateway.bridge.in_flight) == 1  # whose client is still there
+
+    for name in ("FIRST_COMMAND_TIMEOUT_S", "PARTIAL_COMMAND_TIMEOUT_S"):
+        monkeypatch.setattr(client_connection, name, 0.2)
+    for name in ("IDLE_TIMEOUT_S", "CROWDED_IDLE_TIMEOUT_S"):
+        monkeypatch.setattr(listener, name, 0.2)
+    run_scenario(scenario())
+
+
+def test_at_the_limit_a_connection_without_a_command_is_evicted_first() -> None:
+    async def scenario() -> None:
+        async with running_gateway(always_reply(None), policy=forwarding_policy()) as gateway:
+            gateway.listener.max_connections = 2
+            spoke = await gateway.connect_client()
+            assert await spoke.execute(b"PING") == b"PONG"
+            silent = await gateway.connect_client()
+            await wait_until(lambda: len(gateway.listener.connections) == 2)
+            third = await gateway.connect_client()
+            assert await third.execute(b"PING") == b"PONG"
+            assert await silent.closed_by_gateway()
+            assert await spoke.execute(b"PING") == b"PONG"
+
+    run_scenario(scenario())
+
+
+def test_at_the_limit_an_idle_connection_is_evicted_or_the_new_one_refused() -> None:
+    async def scenario() -> None:
+        async with running_gateway(always_reply(None), sockets=64) as gateway:
+            gateway.listener.max_connections = 2
+            busy, idle = await gateway.connect_client(), await gateway.connect_client()
+            assert await idle.execute(b"PING") == b"PONG"
+            busy.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
+            await wait_until(lambda: gateway.bridge.in_flight)
+            third = await gateway.connect_client()
+            assert await third.execute(b"PING") == b"PONG"
+            assert await idle.closed_by_gateway()
+            third.send(b"CALL.GET", CUSTOMER, b"2", READ_FIELDS)
+            await wait_until(lambda: len(gateway.bridge.in_flight) == 2)
+            fourth = await gateway.connect_client()
+            assert "too many connections" in str(await fourth.read_reply())
+
+    run_scenario(scenario())
+
+
+ENCODED_REQUEST = b"*4\r\n$8\r\nCALL.GET\r\n$16\r\n%b\r\n$1\r\n9\r\n$%d\r\n%b\r\n" % (
+    CUSTOMER,
+    len(READ_FIELDS),
+    READ_FIELDS,
+)
+
+
+def test_a_connection_with_an_unread_request_is_not_evicted() -> None:
+    """A crowd that came in one turn of the loop pushed out whoever had just sent a request."""
+
+    async def scenario() -> None:
+        async with running_gateway(always_reply(OK_RESPONSE), policy=forwarding_policy()) as gateway:
+            with socket.create_connection(("127.0.0.1", gateway.port)) as client:
+                client.setblocking(False)
+                listener = gateway.listener
+                await wait_until(lambda: listener.connections)
+                (connection,) = listener.connections
+                assert listener.eviction_candidate() is connection
+                client.send(ENCODED_REQUEST)  # no turn of the loop is between these
+                assert listener.eviction_candidate() is None
+                assert await asyncio.get_running_loop().sock_recv(client, 65536) == b"$5\r\nvalue\r\n"
+
+    run_scenario(scenario())
--- a/tests/network/test_long_lists.py
+++ b/tests/network/test_long_lists.py
@@ -96,7 +96,7 @@
         async with running_gateway(always_reply(OK_RESPONSE), policy=script, discovery=discovery) as one:
             many[-1] = server_row("s0", one.servers[0].port)
             client = await one.connect_client()
-            gateway, turns, served = one.program.gateway, 0, []
+            server_pools, turns, served = one.program.server_pools, 0, []
 
             async def turning() -> None:
                 nonlocal turns
@@ -108,7 +108,7 @@
                 for number in itertools.count():
                     reply = await client.execute(b"CALL.GET", CUSTOMER, b"%d" % number, READ_FIELDS)
                     assert reply == b"value"
-                    served.append(len(gateway.servers.pools))
+                    served.append(len(server_pools.pools))
 
             tasks = [asyncio.ensure_future(turning()), asyncio.ensure_future(asking())]
             await wait_until(lambda: served)
@@ -117,7 +117,7 @@
                 http_response(json.dumps({"version": 9, "full": True, "servers": many}).encode())
             )
             active = sum(server["state"] == "Ready" for server in many)
-            await wait_until(lambda: len(gateway.servers.pools) >= active)
+            await wait_until(lambda: len(server_pools.pools) >= active)
             assert turns - before >= 2 * MANY // STEP
             assert any(1 < pools < active for pools in served)  # a request was served in the middle of it
             taken = script.events_of(EndpointUpdate)
--- a/tests/network/test_process.py
+++ b/tests/network/test_process.py
@@ -206,9 +206,9 @@
             one.program.discovery.move(("127.0.0.1", new.port))
             old.answers.append(endpoint_list_response(10, [], full=True))
             await wait_until(lambda: new.targets)
-            assert list(one.program.servers.pools) == ["a"]  # the list held stays until the new one comes
+            assert list(one.program.server_pools.pools) == ["a"]  # kept until the new list comes
             new.answers.append(endpoint_list_response(2, [server_row("b", 81)]))
-            await wait_until(lambda: list(one.program.servers.pools) == ["b"])
+            await wait_until(lambda: list(one.program.server_pools.pools) == ["b"])
             assert new.targets[0] == "/v1/servers"
         await new.stop()
 
--- /dev/null
+++ b/tests/network/test_server_connection.py
@@ -0,0 +1,55 @@
+"""Connections to servers over loopback sockets: bytes that match no request."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from quota_gateway.network import server_pool
+from tests.network.harness import (
+    CUSTOMER,
+    OK_RESPONSE,
+    READ_FIELDS,
+    always_reply,
+    forwarding_policy,
+    run_scenario,
+    running_gateway,
+    wait_until,
+)
+
+
+def test_a_late_duplicate_response_is_not_served_to_another_request(monkeypatch: pytest.MonkeyPatch) -> None:
+    """It comes in a segment of its own, when the connection has been given back already."""
+
+    async def scenario() -> None:
+        async def twice(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
+            value = words[2].rjust(4, b"0")
+            answer = b"*3\r\n$4\r\n%b\r\n$-1\r\n$-1\r\n" % value
+            writer.write(answer)
+            await asyncio.sleep(0.005)
+            return answer
+
+        async with running_gateway(twice, policy=forwarding_policy()) as gateway:
+            client = await gateway.connect_client()
+            for number in range(1, 9):
+                value = await client.execute(b"CALL.GET", CUSTOMER, b"%d" % number, READ_FIELDS)
+                assert value == b"%04d" % number
+            assert len(gateway.servers[0].writers) == 8
+
+    monkeypatch.setattr(server_pool, "SETTLE_S", 30.0)  # however slow the machine
+    run_scenario(scenario())
+
+
+def test_unsolicited_bytes_close_the_connection() -> None:
+    """Else the next request on it would be served with another's value."""
+
+    async def scenario() -> None:
+        async with running_gateway(
+            always_reply(OK_RESPONSE + OK_RESPONSE), policy=forwarding_policy()
+        ) as gateway:
+            client = await gateway.connect_client()
+            await client.execute(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
+            await wait_until(lambda: not gateway.server_pools.pools["s0"].connections)
+
+    run_scenario(scenario())
