--- a/quota_gateway/network/bridge.py
+++ b/quota_gateway/network/bridge.py
@@ -14,6 +14,7 @@
 from typing import Protocol
 
 from quota_gateway.network import resp
+from quota_gateway.network.address import Address
 from quota_gateway.network.attempt import Attempt
 from quota_gateway.network.attempt_result import AttemptResult
 from quota_gateway.network.clock import Clock
@@ -22,7 +23,7 @@
 from quota_gateway.network.discovery.watch import News
 from quota_gateway.network.load_report import parse_load_report
 from quota_gateway.network.log_setup import EventMessage, log_event
-from quota_gateway.network.server_pool import Address, ServerPools
+from quota_gateway.network.server_pool import ServerPools
 from quota_gateway.policy_api.actions import (
     Action,
     CancelAttempt,
--- a/quota_gateway/network/commands.py
+++ b/quota_gateway/network/commands.py
@@ -14,10 +14,10 @@
 import re
 from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Any, TypeVar
+from typing import TypeVar
 
 from quota_gateway.network import resp
-from quota_gateway.settings import Idempotency, Settings, number_or
+from quota_gateway.settings import Idempotency, Settings
 
 READ_VERB = b"CALL.GET"  # requests that are idempotent by nature
 WRITE_VERB = b"CALL.POST"
@@ -28,8 +28,6 @@
 MAX_FIELDS_BYTES = 512
 MAX_CUSTOMER = 1 << 33  # customer ids are below this
 MIN_TIME_LEFT_MS = 1.0
-DEFAULT_MAX_UNITS = 1e6  # where the settings name no limit
-DEFAULT_MAX_TIME_LEFT_MS = 60_000.0  # where a class has no hard limit
 
 _CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
 _TOKEN = re.compile(rb"[!-~]{1,64}")  # request ids and idempotency keys: printable ASCII without a space
@@ -51,16 +49,6 @@
     max_time_left_ms: float  # longer deadlines are shortened to this, so that no request is held for minutes
 
 
-def decode_request_limits(raw: dict[str, Any]) -> RequestLimits:
-    """Read the limits from the raw settings."""
-    hard_limits_ms = [number_or(profile.get("hard_limit_ms")) for profile in raw["profiles"]]
-    every_class_limited = bool(hard_limits_ms) and min(hard_limits_ms) > 0
-    return RequestLimits(
-        max_units=number_or((raw.get("domain") or {}).get("max_units")) or DEFAULT_MAX_UNITS,
-        max_time_left_ms=max(hard_limits_ms) if every_class_limited else DEFAULT_MAX_TIME_LEFT_MS,
-    )
-
-
 @dataclass(slots=True)
 class RequestCommand:
     """A parsed request command, with the parts from which it is encoded again for a server."""
--- a/quota_gateway/network/server_pool.py
+++ b/quota_gateway/network/server_pool.py
@@ -9,6 +9,7 @@
 import asyncio
 from dataclasses import dataclass
 
+from quota_gateway.network.address import Address
 from quota_gateway.network.server_connection import ServerConnection
 from quota_gateway.network.socket_poll import has_unread_bytes
 
@@ -17,8 +18,6 @@
 EXPIRY_INTERVAL_S = 1.0  # idle connections are checked this often
 SETTLE_S = 0.03  # a connection rests this long after a response: see `ServerPool.acquire`
 
-Address = tuple[str, int]
-
 
 def idle_limit_s(server_idle_timeout_s: float) -> float:
     """Return how long a connection may be idle, given the server's own time-out; always less than that."""
--- a/tests/network/test_graceful_shutdown.py
+++ b/tests/network/test_graceful_shutdown.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quota_gateway.network.__main__ import leave_s
+from quota_gateway.network.process import drain_duration_s
 from tests.network.harness import (
     CUSTOMER,
     OK_RESPONSE,
@@ -43,7 +43,7 @@
                 )
             )
             server = gateway.listener.server
-            leaving = asyncio.ensure_future(gateway.program.leave())
+            leaving = asyncio.ensure_future(gateway.program.shut_down())
             await wait_until(lambda: server is not None and not server.is_serving())
             client.send(
                 b"CALL.GET", CUSTOMER, b"2", READ_FIELDS
@@ -77,4 +77,4 @@
 
 @pytest.mark.parametrize(("longest_ms", "end_s"), [(400.0, 0.6), (1000.0, 1.2), (2500.0, 2.7), (9000.0, 3.2)])
 def test_the_shutdown_ends_before_the_kill_that_the_deadlines_allow(longest_ms: float, end_s: float) -> None:
-    assert leave_s(longest_ms) == pytest.approx(end_s)
+    assert drain_duration_s(longest_ms) == pytest.approx(end_s)
--- a/tests/network/test_listener.py
+++ b/tests/network/test_listener.py
@@ -58,7 +58,7 @@
 
 def test_at_the_limit_an_idle_connection_is_evicted_or_the_new_one_refused() -> None:
     async def scenario() -> None:
-        async with running_gateway(always_reply(None), sockets=64) as gateway:
+        async with running_gateway(always_reply(None), max_sockets=64) as gateway:
             gateway.listener.max_connections = 2
             busy, idle = await gateway.connect_client(), await gateway.connect_client()
             assert await idle.execute(b"PING") == b"PONG"
