--- a/tests/network/harness.py
+++ b/tests/network/harness.py
@@ -15,9 +15,11 @@
 import hiredis
 import uvloop
 
-from quota_gateway.network.bridge import Decisions
+from quota_gateway.network.bridge import Policy, PolicyBridge
 from quota_gateway.network.config import GatewayConfig, decode_config
+from quota_gateway.network.listener import Listener
 from quota_gateway.network.process import GatewayProcess
+from quota_gateway.network.server_pool import ServerPools
 from quota_gateway.policy_api.actions import Action, Fail, StartAttempt
 from quota_gateway.policy_api.events import AttemptCompleted, Event, Request
 
@@ -55,6 +57,11 @@
     ],
     "safety": {"cold_from": 0.25, "warm_after_ms": 18000.0, "drain_grace_ms": 250.0},
 }
+ENCODED_REQUEST = b"*4\r\n$8\r\nCALL.GET\r\n$16\r\n%b\r\n$1\r\n9\r\n$%d\r\n%b\r\n" % (
+    CUSTOMER,
+    len(READ_FIELDS),
+    READ_FIELDS,
+)
 OK_RESPONSE = b"*3\r\n$5\r\nvalue\r\n*-1\r\n$20\r\ninflight=7,queue=2.5\r\n"
 
 
@@ -145,6 +152,16 @@
     return answer
 
 
+def reply_once_released(release: asyncio.Event) -> Reply:
+    """An OK response to everything, held back until the event is set."""
+
+    async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+        await release.wait()
+        return OK_RESPONSE
+
+    return reply
+
+
 class FakeDiscovery(FakeServer):
     """Discovery: `answers` are given out one for each call; when they run out, calls are left waiting."""
 
@@ -252,6 +269,11 @@
     return decide
 
 
+def forwarding_policy(server: str = "s0") -> ScriptedPolicy:
+    """A policy that sends each request once to one server."""
+    return ScriptedPolicy(forward_to(server))
+
+
 class RunningGateway:
     """A gateway with its peers."""
 
@@ -266,6 +288,18 @@
         assert server is not None
         return int(server.sockets[0].getsockname()[1])
 
+    @property
+    def listener(self) -> Listener:
+        return self.program.listener
+
+    @property
+    def bridge(self) -> PolicyBridge:
+        return self.program.bridge
+
+    @property
+    def server_pools(self) -> ServerPools:
+        return self.program.server_pools
+
     async def connect_client(self) -> RespClient:
         return await RespClient.connect(self.port)
 
@@ -293,7 +327,7 @@
 @asynccontextmanager
 async def running_gateway(
     *replies: Reply,
-    policy: Decisions | None = None,
+    policy: Policy | None = None,
     counter: Reply | None = None,
     discovery: FakeDiscovery | None = None,
     **changes: Any,
--- a/tests/network/test_discovery_watch.py
+++ b/tests/network/test_discovery_watch.py
@@ -184,13 +184,13 @@
         discovery = FakeDiscovery(endpoint_list_response(4, rows))
         script = ScriptedPolicy(lambda event: [])
         async with running_gateway(policy=script, discovery=discovery) as one:
-            await wait_until(lambda: len(discovery.targets) == 2 and "s9" in one.program.servers.pools)
+            await wait_until(lambda: len(discovery.targets) == 2 and "s9" in one.program.server_pools.pools)
             drained = [rows[0], server_row("s9", 81, "Terminating")]
             discovery.answers += [response, endpoint_list_response(5, drained)]
             if response is TRUNCATED:
                 await wait_until(lambda: one.program.endpoint_watch.connection.status == 200)  # type: ignore[union-attr]
                 discovery.writers[-1].transport.abort()
-            await wait_until(lambda: one.program.servers.pools["s9"].stop_at is not None)
+            await wait_until(lambda: one.program.server_pools.pools["s9"].write_deadline is not None)
             assert discovery.times[2] - discovery.times[1] < 2 * DRAIN_GRACE_S  # a watch and a pause
 
     run_scenario(scenario())
@@ -292,9 +292,9 @@
             one.program.endpoint_watch.move_to(("127.0.0.1", new.port))
             old.answers.append(endpoint_list_response(10, [], full=True))
             await wait_until(lambda: new.targets)
-            assert list(one.program.servers.pools) == ["a"]  # the list held stays until the new one comes
+            assert list(one.program.server_pools.pools) == ["a"]  # kept until the new list comes
             new.answers.append(endpoint_list_response(2, [server_row("b", 81)]))
-            await wait_until(lambda: list(one.program.servers.pools) == ["b"])
+            await wait_until(lambda: list(one.program.server_pools.pools) == ["b"])
             assert new.targets[0] == "/v1/servers"
         await new.stop()
 
