--- a/quota_gateway/lab/cli/lab.py
+++ b/quota_gateway/lab/cli/lab.py
@@ -21,8 +21,11 @@
 from quota_gateway.lab import results
 from quota_gateway.lab.cli.logging_setup import configure_logging
 from quota_gateway.lab.scaling import capacity, slopes
-from quota_gateway.lab.simulation.experiment import Experiment, ExperimentError, load, load_as
-from quota_gateway.lab.simulation.simulation import World
+from quota_gateway.lab.simulation.experiment import Experiment
+from quota_gateway.lab.simulation.experiment_validation import load_experiment
+from quota_gateway.lab.simulation.run_report import measured_figures, simulated_figures
+from quota_gateway.lab.simulation.simulation import Simulation
+from quota_gateway.lab.toml_config import ConfigFileError, load_config
 
 app = typer.Typer(
     name="lab", no_args_is_help=True, add_completion=False, help="The emulator of the fleet, and its figures."
@@ -76,20 +79,22 @@
         seed=seed,
         gateways=fleet.gateways,
         servers=fleet.servers,
-        visible=experiment.visible,
-        pools=experiment.pools,
+        visible=experiment.visible_servers,
+        pools=experiment.pool_count,
+    )
+    simulation = Simulation(experiment, seed)
+    log.info(
+        "play", seconds=experiment.duration_s, memory_mb=round(simulation.cost.memory_bytes["gateways"] / 1e6)
     )
-    world = World(experiment, seed)
-    log.info("play", seconds=experiment.seconds, memory_mb=round(world.memory["gateways"] / 1e6))
     with bar(experiment.name) as progress:
-        world.play(progress)
-    log.info("done", wall_s=round(world.wall_s, 2), events=world.kernel.done)
+        simulation.run(progress)
+    log.info("done", wall_s=round(simulation.cost.wall_s, 2), events=simulation.scheduler.executed)
     return {
         "experiment": msgspec.to_builtins(experiment),
         "seed": seed,
         "machine": results.machine(),
-        "simulated": world.simulated(),
-        "measured": world.figures(),
+        "simulated": simulated_figures(simulation),
+        "measured": measured_figures(simulation),
     }
 
 
@@ -133,8 +138,8 @@
     configure_logging()
     check_output(out)
     try:
-        made = load(experiment)
-    except ExperimentError as error:
+        made = load_experiment(experiment)
+    except ConfigFileError as error:
         raise fail(str(error)) from None
     first = made.seed if seed is None else seed
     if repeat == 1:
@@ -170,10 +175,10 @@
     """Works out what each role needs at a size, from measured slopes, as a table for a page."""
     check_output(out)
     try:
-        made = load_as(size, capacity.Outlook, capacity.impossible)
+        made = load_config(size, capacity.Outlook, capacity.impossible)
         found = capacity.Slopes(measured)
         lines = capacity.Page(made, found).lines()
-    except (ExperimentError, capacity.SlopesError) as error:
+    except (ConfigFileError, capacity.SlopesError) as error:
         raise fail(str(error)) from None
     print(f"{made.name}: slopes measured on {results.where(found.machine)}\n")
     print(capacity.markdown(lines))
--- a/quota_gateway/lab/scaling/capacity.py
+++ b/quota_gateway/lab/scaling/capacity.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from quota_gateway.lab.simulation.experiment import Count, Part, Positive, Problem, Share
+from quota_gateway.lab.toml_config import PositiveFloat, PositiveInt, Problem, Share, Table
 from quota_gateway.network.discovery.watch import WAIT_S
 from quota_gateway.policy.gateway import IDLE_MS, SUBSET, TICK_MS
 
@@ -25,44 +25,44 @@
 MESSAGES = 3  # a server that is replaced drains, is gone, and its successor comes
 
 
-class Size(Part, frozen=True):
+class Size(Table, frozen=True):
     """How large the fleet is."""
 
-    gateways: Count
-    servers: Count
-    services: Count
-    requests_per_s: Positive
-    routes: Count
-    tenants: Count
-    regions: Count
-    zones: Count
-    configuration_changes_per_day: Positive
-    restarts_per_day: Positive
-    failures_per_day: Positive
-    servers_in_a_rack: Count
+    gateways: PositiveInt
+    servers: PositiveInt
+    services: PositiveInt
+    requests_per_s: PositiveFloat
+    routes: PositiveInt
+    tenants: PositiveInt
+    regions: PositiveInt
+    zones: PositiveInt
+    configuration_changes_per_day: PositiveFloat
+    restarts_per_day: PositiveFloat
+    failures_per_day: PositiveFloat
+    servers_in_a_rack: PositiveInt
     release_share: Share
-    release_s: Positive
+    release_s: PositiveFloat
 
 
-class Limits(Part, frozen=True):
+class Limits(Table, frozen=True):
     """What the operators allow, of a gateway where nothing else is said."""
 
     control_core_share: Share
-    memory_mb: Positive
-    control_bytes_per_s: Positive
-    control_machines: Count
-    added_ms: Positive
-    in_force_s: Positive
+    memory_mb: PositiveFloat
+    control_bytes_per_s: PositiveFloat
+    control_machines: PositiveInt
+    added_ms: PositiveFloat
+    in_force_s: PositiveFloat
 
 
-class CounterSize(Part, frozen=True):
+class CounterSize(Table, frozen=True):
     """The counter."""
 
-    calls_per_machine_s: Positive
-    calls_per_request: Positive
+    calls_per_machine_s: PositiveFloat
+    calls_per_request: PositiveFloat
 
 
-class Outlook(Part, frozen=True):
+class Outlook(Table, frozen=True):
     """A size file."""
 
     name: str
@@ -80,7 +80,7 @@
         (size.servers < size.zones, "size.servers", f"fewer than the {size.zones} zones"),
         (size.servers_in_a_rack > size.servers, "size.servers_in_a_rack", "more than there are"),
     )
-    return next(((key, what) for wrong, key, what in checks if wrong), None)
+    return next((Problem(key, what) for wrong, key, what in checks if wrong), None)
 
 
 class SlopesError(ValueError):
--- a/quota_gateway/lab/scaling/slopes.py
+++ b/quota_gateway/lab/scaling/slopes.py
@@ -29,7 +29,7 @@
 from quota_gateway.lab.fakes import DiscoveryStandIn
 from quota_gateway.lab.load import deployment as site
 from quota_gateway.lab.load.gateway_process import GatewayProcess
-from quota_gateway.lab.simulation.wire_sizes import HTTP_HEAD, call_get, listing
+from quota_gateway.lab.simulation.wire_sizes import HTTP_HEADER_BYTES, call_get, endpoint_list
 from quota_gateway.network import resp
 from quota_gateway.network.commands import Bounds, Catalogue
 from quota_gateway.network.discovery.watch import LONG_BODY, WAIT_S, Exchange, LongList, read_list
@@ -206,12 +206,12 @@
         change.add(count, timed(bench.change, repeats))
         whole.add(count, timed(bench.whole, repeats))
         first.add(count, timed(bench.first, repeats))
-        body = listing(bench.entries, 41, True)
+        body = endpoint_list(bench.entries, 41, True)
         read.add(count, timed(lambda b=body: parse(b), repeats))  # type: ignore[misc]
         longest.add(count, [max(spans_of(body)) for _ in range(repeats)])
         gc.unfreeze()
         size.add(count, [float(len(body))])
-        one.add(count, [float(len(listing(bench.entries[:1], 42, False)))])
+        one.add(count, [float(len(endpoint_list(bench.entries[:1], 42, False)))])
         step()
     return [decision, tick, change, whole, first, read, longest, size, one]
 
@@ -239,7 +239,7 @@
     """Bytes that a gateway holds for a list, read by itself and taken in."""
     slope = Slope("records of servers", "bytes", "servers")
     for count in counts:
-        body = listing(entries(count), 41, True)
+        body = endpoint_list(entries(count), 41, True)
         gc.collect()
         tracemalloc.start()
         gateway = Gateway(SETTINGS, 7)
@@ -282,7 +282,7 @@
                 "seed": f"{7:016x}",
                 "settings": site.settings(GATEWAYS),
                 "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 1024},
-                "known": json.loads(listing(entries(count), discovery.version, True)),
+                "known": json.loads(endpoint_list(entries(count), discovery.version, True)),
             }
         )
         await process.ready()
@@ -335,10 +335,10 @@
     idle = Slope("an idle watch: calls", "calls/s", "gateways")
     idle.add(1, [1.0 / WAIT_S])
     quiet = Slope("an idle watch: call and answer", "bytes/s", "gateways")
-    quiet.add(1, [(call + HTTP_HEAD + len(listing((), 41_000, False))) / WAIT_S])
+    quiet.add(1, [(call + HTTP_HEADER_BYTES + len(endpoint_list((), 41_000, False))) / WAIT_S])
     news = Slope("news of a watch: call and answer", "bytes", "changes")
     for count in CHANGES:
-        news.add(count, [float(call + HTTP_HEAD + len(listing(entries(count), 41_000, False)))])
+        news.add(count, [float(call + HTTP_HEADER_BYTES + len(endpoint_list(entries(count), 41_000, False)))])
     asked = Slope("counter: call written", "bytes", "calls")
     answer = Slope("counter: answer", "bytes", "calls")
     names = [stable(f"{i * 7919:016x}/{60_000 * i}") for i in range(NAMES)]
--- a/quota_gateway/lab/simulation/counter.py
+++ b/quota_gateway/lab/simulation/counter.py
@@ -1,96 +1,118 @@
-"""The shared counter: machines of a few parts, each of which takes calls in turn (PROTOCOL, brief 7.6)."""
+"""The shared counter: machines of a few partitions, each taking calls in turn (PROTOCOL, brief 7.6)."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from quota_gateway.lab.simulation.experiment import Counter as Figures
-from quota_gateway.lab.simulation.metrics import Books
-from quota_gateway.lab.simulation.network import Place
-from quota_gateway.lab.simulation.scheduler import Kernel, stream
+from quota_gateway.lab.simulation.experiment import CounterConfig
+from quota_gateway.lab.simulation.metrics import Message, Metrics, Role
+from quota_gateway.lab.simulation.network import Location
+from quota_gateway.lab.simulation.random_streams import random_stream
+from quota_gateway.lab.simulation.scheduler import EventScheduler
 from quota_gateway.policy_api.events import CallOutcome
 
-MOST_TTL_MS = 60_000.0
-FORGET_MS = 10_000.0  # names that are over are cleared away this often; it costs memory only
+MAX_TTL_MS = 60_000.0
+EXPIRY_SWEEP_MS = 10_000.0  # expired keys are removed this often; it costs memory only
 
-Reply = Callable[[CallOutcome, float], None]
+Reply = Callable[[CallOutcome, float], None]  # the outcome, and the total of the key after the call
 
 
 @dataclass(slots=True)
-class Name:
-    """A number; forgotten when the time given in its first call is up."""
+class Entry:
+    """The total of one key, which expires after the time given in its first call."""
 
     total: float
-    until: float
+    expires_at: float
 
 
-class Part:
-    """Takes one call after the other."""
-
-    def __init__(self, gap_ms: float) -> None:
-        self.gap_ms = gap_ms  # a call's turn
-        self.free_at = 0.0
-        self.names: dict[int, Name] = {}
-        self.cleared = 0.0
+class Partition:
+    """Takes one call after the other.
 
+    Attributes:
+        call_interval_ms: time that one call takes.
+        free_at: when the calls taken so far will be done, ms.
+    """
 
-class Counter:
-    """All machines. Names of a region are spread over the parts of the machines that stand there."""
+    def __init__(self, call_interval_ms: float) -> None:
+        self.call_interval_ms = call_interval_ms
+        self.free_at = 0.0
+        self.entries: dict[int, Entry] = {}
+        self.swept_at = 0.0
+
+    def add(self, key: int, amount: float, ttl_ms: float, now: float) -> float:
+        """Add to a key, and return its total."""
+        if now - self.swept_at > EXPIRY_SWEEP_MS:
+            self.entries = {k: entry for k, entry in self.entries.items() if entry.expires_at > now}
+            self.swept_at = now
+        entry = self.entries.get(key)
+        if entry is None or entry.expires_at <= now:
+            entry = self.entries[key] = Entry(0.0, now + max(1.0, min(ttl_ms, MAX_TTL_MS)))
+        entry.total = float(f"{entry.total + amount:.7g}")  # exact to seven digits
+        return entry.total
+
+
+class SharedCounter:
+    """All machines of the counter. Keys of a region are spread over the partitions that stand there.
+
+    Attributes:
+        calls_per_s: rate that one machine bears.
+        processing_ms: time of a call beside the wait for its turn.
+        max_queue_ms: a partition that is booked for longer answers BUSY.
+        silent: whether it answers nothing.
+    """
 
     def __init__(
-        self, kernel: Kernel, books: Books, figures: Figures, places: list[Place], seed: int
+        self,
+        scheduler: EventScheduler,
+        metrics: Metrics,
+        config: CounterConfig,
+        locations: list[Location],
+        seed: int,
     ) -> None:
-        self.kernel = kernel
-        self.books = books
-        self.figures = figures
-        rng = stream(seed, "counter")
-        self.calls_per_s = rng.uniform(*figures.calls_per_s)  # of a machine
-        self.call_ms = rng.uniform(*figures.call_ms)
-        self.line_ms = rng.uniform(*figures.line) * figures.timeout_ms
-        self.rng = rng
-        self.mute = False
-        gap = 1000.0 * figures.parts / self.calls_per_s
-        self.parts: dict[int, list[tuple[Place, Part]]] = {}
-        for place in places:
-            made = [(place, Part(gap)) for _ in range(figures.parts)]
-            self.parts.setdefault(place.region, []).extend(made)
-        self.all = [part for region in sorted(self.parts) for part in self.parts[region]]
-
-    def home(self, region: int, name: int) -> tuple[Place, Part]:
-        """The part that holds a name."""
-        near = self.parts.get(region) or self.all
-        return near[name % len(near)]
-
-    def call(self, part: Part, name: int, amount: float, ttl_ms: float, reply: Reply) -> None:
-        """A call has come; `reply` is called with ending and total when its answer leaves, if one does."""
-        now = self.kernel.now
-        if self.mute or (self.figures.loss and self.rng.random() < self.figures.loss):
-            self.books.count("counter", "lost")
+        self.scheduler = scheduler
+        self.metrics = metrics
+        self.config = config
+        rng = random_stream(seed, "counter")
+        self.calls_per_s = rng.uniform(*config.calls_per_s)
+        self.processing_ms = rng.uniform(*config.processing_ms)
+        self.max_queue_ms = rng.uniform(*config.queue_limit_timeouts) * config.timeout_ms
+        self.silent = False
+        self._rng = rng
+        call_interval_ms = 1000.0 * config.partitions / self.calls_per_s
+        self._by_region: dict[int, list[tuple[Location, Partition]]] = {}
+        for location in locations:
+            partitions = [(location, Partition(call_interval_ms)) for _ in range(config.partitions)]
+            self._by_region.setdefault(location.region, []).extend(partitions)
+        self._all = [part for region in sorted(self._by_region) for part in self._by_region[region]]
+
+    def partition_of(self, region: int, key: int) -> tuple[Location, Partition]:
+        """Return the partition that holds a key of a region, with its location."""
+        partitions = self._by_region.get(region) or self._all
+        return partitions[key % len(partitions)]
+
+    def call(self, partition: Partition, key: int, amount: float, ttl_ms: float, reply: Reply) -> None:
+        """Take a call; `reply` is called when its answer leaves, if one does."""
+        now = self.scheduler.now
+        if self.silent or (self.config.loss_share and self._rng.random() < self.config.loss_share):
+            self.metrics.count_message(Role.COUNTER, Message.LOST)
             return
-        if part.free_at - now > self.line_ms:
-            self.books.count("counter", "busy")
+        if partition.free_at - now > self.max_queue_ms:
+            self.metrics.count_message(Role.COUNTER, Message.BUSY)
             reply(CallOutcome.REJECTED, 0.0)
             return
-        part.free_at = max(now, part.free_at) + part.gap_ms
-        self.kernel.at(part.free_at + self.call_ms, self.add, part, name, amount, ttl_ms, reply)
+        partition.free_at = max(now, partition.free_at) + partition.call_interval_ms
+        done_at = partition.free_at + self.processing_ms
+        self.scheduler.schedule_at(done_at, self._execute, partition, key, amount, ttl_ms, reply)
+
+    def clear(self) -> None:
+        """Lose all entries."""
+        for _, partition in self._all:
+            partition.entries.clear()
 
-    def add(self, part: Part, name: int, amount: float, ttl_ms: float, reply: Reply) -> None:
-        """The call's turn."""
-        if self.mute:
+    def _execute(self, partition: Partition, key: int, amount: float, ttl_ms: float, reply: Reply) -> None:
+        if self.silent:
             return
-        now = self.kernel.now
-        if now - part.cleared > FORGET_MS:
-            part.names = {key: held for key, held in part.names.items() if held.until > now}
-            part.cleared = now
-        held = part.names.get(name)
-        if held is None or held.until <= now:
-            held = part.names[name] = Name(0.0, now + max(1.0, min(ttl_ms, MOST_TTL_MS)))
-        held.total = float(f"{held.total + amount:.7g}")  # exact to seven digits
-        self.books.count("counter", "added")
-        reply(CallOutcome.OK, held.total)
-
-    def empty(self) -> None:
-        """It lost all it held."""
-        for _, part in self.all:
-            part.names.clear()
+        total = partition.add(key, amount, ttl_ms, self.scheduler.now)
+        self.metrics.count_message(Role.COUNTER, Message.ADDED)
+        reply(CallOutcome.OK, total)
--- /dev/null
+++ b/quota_gateway/lab/simulation/endpoint_notices.py
@@ -0,0 +1,51 @@
+"""What one gateway has been notified of, for the rules on drains and on servers that are warming up."""
+
+from __future__ import annotations
+
+from quota_gateway.lab.simulation.environment import Environment
+from quota_gateway.lab.simulation.metrics import RuleViolation
+from quota_gateway.lab.simulation.network import Location
+from quota_gateway.lab.simulation.servers import Server
+from quota_gateway.policy_api.endpoints import EndpointState, EndpointUpdate
+
+
+class EndpointNotices:
+    """Keeps when a gateway was notified of drains, and the starts of servers that it knows of."""
+
+    def __init__(self, environment: Environment, location: Location) -> None:
+        self._environment = environment
+        self._location = location
+        self._leaving_since: dict[str, float] = {}  # when it learned that a server drains or is gone
+        self._known_starts: dict[str, float] = {}
+
+    def record(self, update: EndpointUpdate) -> None:
+        """Take an update that the gateway has received."""
+        for endpoint in update.endpoints:
+            if endpoint.state is EndpointState.ACTIVE:
+                self._leaving_since.pop(endpoint.server_id, None)
+                if endpoint.started_ms:
+                    self._known_starts[endpoint.server_id] = endpoint.started_ms
+            else:
+                self._leaving_since.setdefault(endpoint.server_id, self._environment.scheduler.now)
+
+    def clear(self) -> None:
+        """Forget everything: the gateway's process is new."""
+        self._leaving_since.clear()
+        self._known_starts.clear()
+
+    def knows_start(self, server: Server) -> bool:
+        """Return whether the gateway knows of the server's last start."""
+        return self._known_starts.get(server.name, 0.0) == server.started_ms
+
+    def check_drain(self, server: Server) -> None:
+        """Count a breach if a new attempt goes to a server that drains, past its grace period.
+
+        That is WIRE rule 3; the period begins when the gateway is notified, or counts as notified.
+        """
+        environment = self._environment
+        now, grace_ms = environment.scheduler.now, environment.experiment.servers.drain_grace_ms
+        notified_at = self._leaving_since.get(server.name)
+        if notified_at is not None and now > notified_at + grace_ms:
+            environment.metrics.violations[RuleViolation.LATE_AFTER_DRAIN_NOTICE] += 1
+        elif now > environment.discovery.notification_deadline(server.name, self._location) + grace_ms:
+            environment.metrics.violations[RuleViolation.LATE_AFTER_NOTICE_DEADLINE] += 1
--- /dev/null
+++ b/quota_gateway/lab/simulation/quota_accounting.py
@@ -0,0 +1,51 @@
+"""Holds what clients sent and gateways admitted against the customers' true quotas."""
+
+from __future__ import annotations
+
+from quota_gateway.lab.simulation.metrics import Metrics, QuotaCount, RuleViolation, ServiceCount
+from quota_gateway.lab.simulation.records import ClientAttempt, Tenant
+from quota_gateway.lab.simulation.scheduler import EventScheduler
+
+UNUSED_BURST_SHARE = 0.5  # a rejection is unnecessary where at least this share of the burst was unused
+
+
+class QuotaAccounting:
+    """Keeps the true level of each tenant's quota, and counts what was sent within it and beyond."""
+
+    def __init__(self, scheduler: EventScheduler, metrics: Metrics) -> None:
+        self._scheduler = scheduler
+        self._metrics = metrics
+
+    def record_first_attempt(self, tenant: Tenant, units: float) -> None:
+        """Count a first attempt, and its worth if one gateway that saw all of them would admit it."""
+        metrics = self._metrics
+        metrics.service[ServiceCount.FIRST_ATTEMPTS] += 1
+        tenant.refill(self._scheduler.now)
+        if tenant.reference_level >= units:
+            tenant.reference_level -= units
+            metrics.service[ServiceCount.FIRST_ATTEMPTS_WITHIN_QUOTA] += 1
+            metrics.worth[ServiceCount.OFFERED_WORTH] += units * tenant.plan.price
+
+    def record_forwarded(self, attempt: ClientAttempt) -> None:
+        """Count an attempt when it is first forwarded: within its quota, which it uses, or beyond."""
+        tenant, units, counts = attempt.request.tenant, attempt.request.units, self._metrics.quota
+        tenant.refill(self._scheduler.now)
+        within = not tenant.plan.rate or tenant.quota_level >= units
+        attempt.within_quota = within
+        counts[QuotaCount.ATTEMPTS_WITHIN_QUOTA if within else QuotaCount.ATTEMPTS_OVER_QUOTA] += 1
+        counts[QuotaCount.UNITS_WITHIN_QUOTA if within else QuotaCount.UNITS_OVER_QUOTA] += int(units)
+        if within and tenant.plan.rate:
+            tenant.quota_level -= units
+        if tenant.plan.hard_limit_rate:
+            tenant.hard_limit_level -= units
+            if tenant.hard_limit_level < -tenant.plan.hard_limit_slack:
+                self._metrics.violations[RuleViolation.HARD_LIMIT_EXCEEDED] += 1
+
+    def record_rejected(self, attempt: ClientAttempt) -> None:
+        """Count a rejection: unnecessary where half of the burst was unused and would have held it."""
+        tenant = attempt.request.tenant
+        tenant.refill(self._scheduler.now)
+        self._metrics.quota[QuotaCount.REJECTED] += 1
+        unused = tenant.quota_level >= UNUSED_BURST_SHARE * tenant.plan.burst
+        if unused and tenant.quota_level >= attempt.request.units:
+            self._metrics.quota[QuotaCount.REJECTED_UNNECESSARILY] += 1
--- /dev/null
+++ b/quota_gateway/lab/simulation/server_attempts.py
@@ -0,0 +1,161 @@
+"""A gateway's attempts at servers: connections, time-outs, responses and cancellation."""
+
+from __future__ import annotations
+
+from functools import partial
+
+from quota_gateway.lab.simulation.clients import Answer, request_bytes
+from quota_gateway.lab.simulation.endpoint_notices import EndpointNotices
+from quota_gateway.lab.simulation.environment import Environment
+from quota_gateway.lab.simulation.gateway_host import GatewayHost
+from quota_gateway.lab.simulation.metrics import Message, Role, RuleViolation
+from quota_gateway.lab.simulation.records import ClientAttempt, ServerAttempt
+from quota_gateway.lab.simulation.servers import ServerState, ServerTask
+from quota_gateway.lab.simulation.wire_sizes import VALUE_BYTES
+from quota_gateway.network.bridge import ANSWER_MARGIN_S
+from quota_gateway.policy_api.actions import StartAttempt
+from quota_gateway.policy_api.events import AttemptCompleted, CallOutcome
+
+DISCONNECT_NOTICE_MS = (
+    100.0  # an attempt that begins this long after its client has gone breaks a rule (letter)
+)
+VALUE_FRAMING_BYTES = 24  # of a value, from a server
+LONG_AGO = -1e9
+HANDSHAKE_FACTOR = 3.0  # a connection comes up first: one round trip more than the way there
+
+
+class ServerAttempts:
+    """Carries out the attempts that the policy starts; each is completed once."""
+
+    def __init__(
+        self, environment: Environment, host: GatewayHost, notices: EndpointNotices, max_attempts: int
+    ) -> None:
+        self._environment = environment
+        self._host = host
+        self._notices = notices
+        self._max_attempts = max_attempts
+        self._connection_used_at: dict[str, float] = {}  # by server
+
+    def clear(self) -> None:
+        """Close all connections: the process is gone."""
+        self._connection_used_at.clear()
+
+    def abort(self, attempt: ServerAttempt) -> None:
+        """End an attempt in flight without a word to the policy, whose process is gone."""
+        attempt.in_flight = False
+        if attempt.task is not None:
+            attempt.server.cancel(attempt.task)
+
+    def start(self, action: StartAttempt) -> None:
+        """Start an attempt, or complete it as not sent."""
+        now = self._environment.scheduler.now
+        request = self._host.pending.get(action.request_id)
+        if request is None:
+            self._environment.metrics.violations[RuleViolation.ATTEMPT_WITHOUT_REQUEST] += 1
+            self._complete_unsent(action, 0, final=True)
+            return
+        number, request.server_attempts = request.server_attempts, request.server_attempts + 1
+        timeout_ms = request.deadline - 1000.0 * ANSWER_MARGIN_S - now
+        if action.timeout_ms > 0:
+            timeout_ms = min(timeout_ms, action.timeout_ms)
+        if timeout_ms <= 0 or number >= self._max_attempts or request.current is not None:
+            self._complete_unsent(action, number, final=False)
+            return
+        server = self._environment.servers.by_name[action.server_id]
+        self._notices.check_drain(server)
+        if request.closed and now - request.closed_at > DISCONNECT_NOTICE_MS:
+            self._environment.metrics.violations[RuleViolation.ATTEMPT_AFTER_DISCONNECT] += 1
+        attempt = request.current = ServerAttempt(request, number, server, now)
+        self._environment.scheduler.schedule_after(timeout_ms, self._complete, attempt, CallOutcome.TIMEOUT)
+        self._send(attempt)
+
+    def cancel(self, request_id: str, number: int) -> None:
+        """Stop waiting for an attempt."""
+        request = self._host.pending.get(request_id)
+        if request is not None and request.current is not None and request.current.number == number:
+            scheduler = self._environment.scheduler
+            scheduler.schedule_after(0.0, self._complete, request.current, CallOutcome.CANCELLED)
+
+    def _complete_unsent(self, action: StartAttempt, number: int, *, final: bool) -> None:
+        event = AttemptCompleted(
+            action.request_id, number, action.server_id, CallOutcome.NOT_SENT, 0.0, final
+        )
+        self._environment.scheduler.schedule_after(0.0, self._host.post_to, self._host.incarnation, event)
+
+    def _send(self, attempt: ServerAttempt) -> None:
+        """Connect if need be, and put the request on its way to the server's machine."""
+        environment, server = self._environment, attempt.server
+        scheduler, config = environment.scheduler, environment.experiment.servers
+        delay = environment.network.sample_delay(self._host.location, server.location)
+        if server.state is ServerState.VANISHED or delay is None:
+            environment.metrics.count_message(Role.SERVER, Message.UNREACHABLE)
+            scheduler.schedule_after(
+                config.connect_timeout_ms, self._complete, attempt, CallOutcome.UNREACHABLE
+            )
+            return
+        used_at = self._connection_used_at.get(server.name, LONG_AGO)
+        if scheduler.now - used_at > config.idle_timeout_ms:
+            environment.metrics.count_message(Role.SERVER, Message.HANDSHAKES)
+            delay *= HANDSHAKE_FACTOR
+        self._connection_used_at[server.name] = scheduler.now
+        if server.state is ServerState.DOWN:
+            scheduler.schedule_after(2.0 * delay, self._complete, attempt, CallOutcome.UNREACHABLE)
+            return
+        request = attempt.client_attempt
+        self._record_forwarded(request)
+        attempt.task = ServerTask(
+            request.request.work * server.service_time_ms,
+            partial(self._return_response, attempt, self._host.incarnation),
+            self._notices.knows_start(server),
+        )
+        size = request_bytes(request, request.deadline - scheduler.now)
+        environment.metrics.count_message(Role.GATEWAY, Message.ATTEMPTS, size)
+        scheduler.schedule_after(delay, self._arrive, attempt)
+
+    def _record_forwarded(self, request: ClientAttempt) -> None:
+        self._host.record_wait(request)
+        if not request.forwarded:
+            request.forwarded = True
+            self._environment.quotas.record_forwarded(request)
+
+    def _arrive(self, attempt: ServerAttempt) -> None:
+        """Hand the request to the server."""
+        if attempt.in_flight and attempt.task is not None:
+            if attempt.server.state is ServerState.DOWN:
+                self._return_response(attempt, self._host.incarnation, CallOutcome.RESET)
+            else:
+                attempt.server.accept(attempt.task)
+
+    def _return_response(self, attempt: ServerAttempt, incarnation: int, outcome: CallOutcome) -> None:
+        """Send a server's response on its way back."""
+        network = self._environment.network
+        delay = network.sample_delay(attempt.server.location, self._host.location)
+        if delay is not None and incarnation == self._host.incarnation:
+            self._environment.scheduler.schedule_after(delay, self._complete, attempt, outcome)
+
+    def _complete(self, attempt: ServerAttempt, outcome: CallOutcome) -> None:
+        """Complete an attempt; a good response goes to the client before the policy hears of it."""
+        host, environment, request = self._host, self._environment, attempt.client_attempt
+        if not attempt.in_flight or not host.alive:
+            return
+        attempt.in_flight = False
+        if request.current is attempt:
+            request.current = None
+        environment.metrics.attempt_outcomes[outcome.value] += 1
+        if outcome in (CallOutcome.TIMEOUT, CallOutcome.CANCELLED) and attempt.task is not None:
+            attempt.server.cancel(attempt.task)
+        attempt.task = None  # it refers back to the attempt: no work for the collector of cycles
+        if outcome is CallOutcome.OK:
+            environment.metrics.count_message(Role.GATEWAY, Message.VALUES, VALUE_BYTES + VALUE_FRAMING_BYTES)
+            if host.pending.pop(request.request_id, None) is not None and not request.closed:
+                environment.clients.complete(request, Answer.SERVED)
+        host.post(
+            AttemptCompleted(
+                request.request_id,
+                attempt.number,
+                attempt.server.name,
+                outcome,
+                environment.scheduler.now - attempt.sent_at,
+                request.request_id not in host.pending,
+            )
+        )
--- a/quota_gateway/lab/simulation/servers.py
+++ b/quota_gateway/lab/simulation/servers.py
@@ -1,4 +1,4 @@
-"""Servers: cores, a waiting room, cold starts and falls, drains, hangs and crashes."""
+"""Servers: cores, a bounded queue, warming up and overload, drains, hangs and crashes."""
 
 from __future__ import annotations
 
@@ -7,167 +7,186 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from quota_gateway.lab.simulation.experiment import Servers as Figures
-from quota_gateway.lab.simulation.metrics import Books, Fall
-from quota_gateway.lab.simulation.network import Place
-from quota_gateway.lab.simulation.scheduler import Kernel
+from quota_gateway.lab.simulation.experiment import ServerConfig
+from quota_gateway.lab.simulation.metrics import ColdServerFailure, Message, Metrics, Role, overload_limit
+from quota_gateway.lab.simulation.network import Location
+from quota_gateway.lab.simulation.scheduler import EventScheduler
 from quota_gateway.policy_api.endpoints import Endpoint, EndpointState
 from quota_gateway.policy_api.events import CallOutcome
 
-REJECT_MS = 0.05  # to turn a request away; BENCH: all work that reaches a server adds load
+REJECT_MS = 0.05  # work to reject a request; BENCH: all work that reaches a server adds load
+HANG_POLL_MS = 50.0  # a completed request of a hung server is looked at again after this
 
 
-class Life(Enum):
+class ServerState(Enum):
     """What a server's process does."""
 
     UP = "up"
     DRAINING = "draining"  # completes what it has
-    HUNG = "hung"  # takes requests and answers none
+    HUNG = "hung"  # accepts requests and answers none
     DOWN = "down"  # refuses connections
-    VANISHED = "vanished"  # says nothing at all
+    VANISHED = "vanished"  # sends nothing at all
 
 
 @dataclass(slots=True, eq=False)
-class Job:
-    """An attempt as a server sees it. `answer` takes its ending, at the server's door."""
+class ServerTask:
+    """A request as a server sees it. `respond` is called with its outcome when the response leaves."""
 
     work_ms: float
-    answer: Callable[[CallOutcome], None]
-    told: bool = True  # the gateway has been told of the server's last start
-    waiting: bool = False
-    over: bool = False  # nobody waits for it any more
+    respond: Callable[[CallOutcome], None]
+    start_notified: bool = True  # the gateway has been notified of the server's last start
+    queued: bool = False
+    cancelled: bool = False  # nobody waits for it any more
 
 
 class Server:
-    """One machine. The work of a request is spread over no more than one core."""
+    """One machine. The work of a request takes one core.
+
+    Attributes:
+        service_time_ms: mean work of a request on one warm core, ms.
+        started_ms: start of the process; 0 means long ago, that is warm.
+        busy_ms: work done so far, in ms of one core.
+    """
 
     def __init__(
-        self, kernel: Kernel, books: Books, figures: Figures, name: str, place: Place, pace: float, pool: int
+        self,
+        scheduler: EventScheduler,
+        metrics: Metrics,
+        config: ServerConfig,
+        name: str,
+        location: Location,
+        service_time_ms: float,
+        pool: int,
     ) -> None:
-        self.kernel = kernel
-        self.books = books
-        self.figures = figures
+        self.scheduler = scheduler
+        self.metrics = metrics
+        self.config = config
         self.name = name
-        self.place = place
+        self.location = location
         self.pool = pool
-        self.pace = pace  # mean work of a request, ms
-        self.life = Life.UP
-        self.started_ms = 0.0  # 0: long ago
-        self.running: dict[Job, None] = {}  # in order of their starts
-        self.line: deque[Job] = deque()
-        self.calls: deque[tuple[float, bool]] = deque()  # of the overload window, while cold
+        self.service_time_ms = service_time_ms
+        self.state = ServerState.UP
+        self.started_ms = 0.0
+        self.running: dict[ServerTask, None] = {}  # in order of their starts
+        self.queue: deque[ServerTask] = deque()
+        self.completed = 0
         self.busy_ms = 0.0
-        self.serves = 0
-        self.drains_at = -1.0  # when it began to drain or was gone, if it was
+        # Calls in the overload window while warming up: their time, and whether the caller had been notified.
+        self._window: deque[tuple[float, bool]] = deque()
 
-    def entry(self, state: EndpointState = EndpointState.ACTIVE) -> Endpoint:
-        """As the list names it."""
-        return Endpoint(self.name, self.place.zone, 0, 1.0, self.started_ms, state)
+    def endpoint(self, state: EndpointState = EndpointState.ACTIVE) -> Endpoint:
+        """Return the server as the endpoint list names it."""
+        return Endpoint(self.name, self.location.zone, 0, 1.0, self.started_ms, state)
 
-    def warmth(self) -> float:
-        """Share of its capacity, which grows evenly in time (BENCH, "The world")."""
-        f = self.figures
+    def warm_up_factor(self) -> float:
+        """Return the present share of its capacity, which grows evenly in time (BENCH, "The world")."""
         if not self.started_ms:
             return 1.0
-        return min(1.0, f.cold_share + (1.0 - f.cold_share) * (self.kernel.now - self.started_ms) / f.warm_ms)
-
-    def budget(self) -> float:
-        """N: calls in the overload window beyond which a cold server falls, at its present capacity."""
-        f = self.figures
-        return f.overload_factor * self.warmth() * f.cores * f.overload_ms / self.pace
-
-    def take(self, job: Job) -> None:
-        """A request has come whole."""
-        if self.life in (Life.DOWN, Life.VANISHED):
+        initial = self.config.initial_capacity_share
+        age_ms = self.scheduler.now - self.started_ms
+        return min(1.0, initial + (1.0 - initial) * age_ms / self.config.warm_up_ms)
+
+    def overload_budget(self) -> float:
+        """Return the calls in the overload window that its present capacity allows."""
+        config = self.config
+        capacity = self.warm_up_factor() * config.cores
+        return config.overload_factor * capacity * config.overload_window_ms / self.service_time_ms
+
+    def accept(self, task: ServerTask) -> None:
+        """Take a request: start, queue or reject it."""
+        if self.state in (ServerState.DOWN, ServerState.VANISHED):
             return
-        self.books.count("server", "requests")
-        if self.started_ms and self.warmth() < 1.0 and self.falls(job):
+        self.metrics.count_message(Role.SERVER, Message.REQUESTS)
+        if self.started_ms and self.warm_up_factor() < 1.0 and self._fails_from_overload(task):
             return
-        if self.life is Life.DRAINING or (
-            len(self.running) >= self.figures.cores and len(self.line) >= self.figures.room
-        ):
+        cores_busy = len(self.running) >= self.config.cores
+        queue_full = len(self.queue) >= self.config.queue_capacity
+        if self.state is ServerState.DRAINING or (cores_busy and queue_full):
             self.busy_ms += REJECT_MS
-            job.answer(CallOutcome.REJECTED)
-        elif self.life is Life.HUNG or len(self.running) >= self.figures.cores:
-            job.waiting = True
-            self.line.append(job)
+            task.respond(CallOutcome.REJECTED)
+        elif self.state is ServerState.HUNG or cores_busy:
+            task.queued = True
+            self.queue.append(task)
         else:
-            self.begin(job)
-
-    def falls(self, job: Job) -> bool:
-        """Whether this call pushes the cold server over: more in a window than N + 2 sqrt(N) + 2 (letter)."""
-        now, calls = self.kernel.now, self.calls
-        calls.append((now, job.told))
-        while calls[0][0] < now - self.figures.overload_ms:
-            calls.popleft()
-        budget = self.budget()
-        limit = budget + 2.0 * budget**0.5 + 2.0
-        self.books.nearest_to_fall = max(self.books.nearest_to_fall, len(calls) / limit)
-        if len(calls) <= limit:
-            return False
-        self.running[job] = None
-        told = sum(heard for _, heard in calls)
-        self.books.falls.append(Fall(now, self.name, len(calls), budget, told))
-        self.stop(Life.DOWN)
-        return True
-
-    def begin(self, job: Job) -> None:
-        """Starts a request on a free core, at the speed of this moment."""
-        job.waiting = False
-        self.running[job] = None
-        took = job.work_ms / self.warmth()
-        self.busy_ms += took
-        self.kernel.after(took, self.finish, job)
-
-    def finish(self, job: Job) -> None:
-        """A request is done."""
-        if job not in self.running:
-            return
-        if self.life is Life.HUNG:
-            self.kernel.after(50.0, self.finish, job)
-            return
-        del self.running[job]
-        self.serves += 1
-        if job.over:
-            self.books.count("server", "wasted")
-        job.answer(CallOutcome.OK)
-        self.next()
-
-    def next(self) -> None:
-        """Takes waiting requests to free cores."""
-        while self.line and len(self.running) < self.figures.cores and self.life is not Life.HUNG:
-            job = self.line.popleft()
-            if not job.over:
-                self.begin(job)
-
-    def drop(self, job: Job) -> None:
-        """Nobody waits any more: waiting work goes, running work where the figures say so (brief 3.2)."""
-        job.over = True
-        if job.waiting:
-            job.waiting = False
-            self.line.remove(job)
-        elif self.figures.stops and job in self.running:
-            del self.running[job]
-            self.next()
-
-    def stop(self, life: Life) -> None:
-        """The process ends: what it held is reset, or told nothing where the machine vanished."""
-        held = [*self.running, *self.line]
+            self._begin(task)
+
+    def cancel(self, task: ServerTask) -> None:
+        """Note that nobody waits for a request.
+
+        A queued one is dropped; a running one goes on unless the configuration says that it stops (brief
+        3.2).
+        """
+        task.cancelled = True
+        if task.queued:
+            task.queued = False
+            self.queue.remove(task)
+        elif self.config.cancels_running_work and task in self.running:
+            del self.running[task]
+            self._begin_queued()
+
+    def stop(self, state: ServerState) -> None:
+        """End the process: what it held is reset, or gets no response where the machine vanished."""
+        held = [*self.running, *self.queue]
         self.running.clear()
-        self.line.clear()
-        self.calls.clear()
-        self.life = life
-        if life is Life.DOWN:
-            for job in held:
-                job.answer(CallOutcome.RESET)
+        self.queue.clear()
+        self._window.clear()
+        self.state = state
+        if state is ServerState.DOWN:
+            for task in held:
+                task.respond(CallOutcome.RESET)
 
     def resume(self) -> None:
-        """A hang is over."""
-        if self.life is Life.HUNG:
-            self.life = Life.UP
-            self.next()
+        """End a hang."""
+        if self.state is ServerState.HUNG:
+            self.state = ServerState.UP
+            self._begin_queued()
 
     def start(self) -> None:
-        """A new process, cold."""
-        self.life, self.started_ms = Life.UP, self.kernel.now
-        self.calls.clear()
+        """Start a new process, which has to warm up."""
+        self.state, self.started_ms = ServerState.UP, self.scheduler.now
+        self._window.clear()
+
+    def _fails_from_overload(self, task: ServerTask) -> bool:
+        """Return whether this call is more than the warming server bears; if so, stop it."""
+        now, window = self.scheduler.now, self._window
+        window.append((now, task.start_notified))
+        while window[0][0] < now - self.config.overload_window_ms:
+            window.popleft()
+        budget = self.overload_budget()
+        limit = overload_limit(budget)
+        self.metrics.peak_cold_load = max(self.metrics.peak_cold_load, len(window) / limit)
+        if len(window) <= limit:
+            return False
+        self.running[task] = None
+        notified = sum(caller_notified for _, caller_notified in window)
+        self.metrics.cold_failures.append(ColdServerFailure(now, self.name, len(window), budget, notified))
+        self.stop(ServerState.DOWN)
+        return True
+
+    def _begin(self, task: ServerTask) -> None:
+        """Start a request on a free core, at the speed of this moment."""
+        task.queued = False
+        self.running[task] = None
+        duration_ms = task.work_ms / self.warm_up_factor()
+        self.busy_ms += duration_ms
+        self.scheduler.schedule_after(duration_ms, self._complete, task)
+
+    def _complete(self, task: ServerTask) -> None:
+        if task not in self.running:
+            return
+        if self.state is ServerState.HUNG:
+            self.scheduler.schedule_after(HANG_POLL_MS, self._complete, task)
+            return
+        del self.running[task]
+        self.completed += 1
+        if task.cancelled:
+            self.metrics.count_message(Role.SERVER, Message.WASTED)
+        task.respond(CallOutcome.OK)
+        self._begin_queued()
+
+    def _begin_queued(self) -> None:
+        """Move queued requests to free cores."""
+        while self.queue and len(self.running) < self.config.cores and self.state is not ServerState.HUNG:
+            task = self.queue.popleft()
+            if not task.cancelled:
+                self._begin(task)
--- /dev/null
+++ b/tests/lab/scaling/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the measured costs and the capacity page."""
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/scaling/test_capacity.py
@@ -11,9 +11,9 @@
 import pytest
 
 from quota_gateway.lab.scaling import capacity
-from quota_gateway.lab.simulation.experiment import load_as
+from quota_gateway.lab.toml_config import load_config
 
-ROOT = Path(__file__).resolve().parents[2]
+ROOT = Path(__file__).resolve().parents[3]
 SIZE = ROOT / "experiments" / "sizes" / "ahead.toml"
 NAMES = (
     "decision: request and its outcome",
@@ -51,7 +51,7 @@
 
 
 def lines(path: Path) -> dict[tuple[str, str], capacity.Line]:
-    made = load_as(SIZE, capacity.Outlook, capacity.impossible)
+    made = load_config(SIZE, capacity.Outlook, capacity.impossible)
     page = capacity.Page(made, capacity.Slopes(path)).lines()
     return {(line.role, line.what): line for line in page}
 
--- /dev/null
+++ b/tests/lab/simulation/fleets.py
@@ -0,0 +1,55 @@
+"""Small fleets and locations that the tests of the simulation share."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from quota_gateway.lab.simulation.experiment import (
+    Experiment,
+    FaultConfig,
+    FleetConfig,
+    LoadConfig,
+    NetworkConfig,
+)
+from quota_gateway.lab.simulation.network import Location
+from quota_gateway.lab.simulation.simulation import Simulation
+
+ZONE_0 = Location("z0", 0)
+ZONE_1 = Location("z1", 0)
+OTHER_REGION = Location("z2", 1)
+WITHOUT_JITTER = NetworkConfig(jitter_share=0.0)
+
+
+def run_small_fleet(duration_s: float = 6.0, **parts: Any) -> Simulation:
+    """Run a small fleet without faults."""
+    load = parts.pop("load", LoadConfig(requests_per_s=60.0, tenants=30, gateways_per_tenant=(1, 2)))
+    experiment = Experiment(
+        name="t", duration_s=duration_s, fleet=FleetConfig(gateways=2, servers=6), load=load, **parts
+    )
+    simulation = Simulation(experiment, seed=3)
+    simulation.run()
+    return simulation
+
+
+def run_with_faults(*faults: FaultConfig, seed: int = 1, duration_s: float = 6.0, **parts: Any) -> Simulation:
+    """Run a small fleet of three zones with faults."""
+    sizes = FleetConfig(gateways=6, servers=9, zones=3)
+    experiment = Experiment(
+        name="t",
+        duration_s=duration_s,
+        fleet=sizes,
+        faults=faults,
+        load=LoadConfig(requests_per_s=90.0, tenants=40, gateways_per_tenant=(2, 4)),
+        **parts,
+    )
+    simulation = Simulation(experiment, seed)
+    simulation.run()
+    return simulation
+
+
+ROUGH_FAULTS = (
+    FaultConfig(kind="servers_replaced", at_s=1.0, duration_s=1.0, share=0.4),
+    FaultConfig(kind="gateways_restarted", at_s=2.0, duration_s=0.5, share=0.5),
+    FaultConfig(kind="zone_cut", at_s=3.0, duration_s=1.0, zone="z1"),
+    FaultConfig(kind="counter_mute", at_s=4.0, duration_s=0.5),
+)
--- a/tests/lab/test_lab_experiment.py
+++ b/tests/lab/simulation/test_experiment.py
@@ -8,7 +8,7 @@
 from typer.testing import CliRunner
 
 from quota_gateway.lab.cli.main import app
-from quota_gateway.lab.simulation.experiment import load
+from quota_gateway.lab.simulation.experiment_validation import load_experiment
 
 HEAD = 'name = "t"\nseconds = 1.0\n[fleet]\ngateways = 2\nservers = 3\n'
 LOAD = "[load]\nrequests_per_s = 10.0\nspread = [1, 2]\n"
@@ -20,9 +20,10 @@
     "name", ["small", "today", "ahead", "ahead_faults", "zone_loss", "restarts", "ramp", *CALIBRATIONS]
 )
 def test_the_experiments_of_the_project_can_be_run(name: str) -> None:
-    made = load(Path(__file__).resolve().parents[2] / "experiments" / f"{name}.toml")
-    assert made.name == name
-    assert made.fleet.servers >= made.visible >= made.fleet.servers // made.pools
+    experiment = load_experiment(Path(__file__).resolve().parents[3] / "experiments" / f"{name}.toml")
+    assert experiment.name == name
+    servers = experiment.fleet.servers
+    assert servers >= experiment.visible_servers >= servers // experiment.pool_count
 
 
 @pytest.mark.parametrize(
@@ -93,7 +94,7 @@
     assert list(tmp_path.iterdir()) == [file]
 
 
-def test_what_cannot_be_read_or_written_is_one_line_too(tmp_path: Path) -> None:
+def test_unreadable_input_and_unwritable_output_are_one_line_too(tmp_path: Path) -> None:
     good = tmp_path / "good.toml"
     good.write_text(GOOD)
     for arguments in (
--- /dev/null
+++ b/tests/lab/simulation/test_fault_injection.py
@@ -0,0 +1,102 @@
+"""Each kind of fault does what its name says, and the rules hold through it."""
+
+from __future__ import annotations
+
+import pytest
+
+from quota_gateway.lab.simulation.experiment import (
+    Experiment,
+    FaultConfig,
+    FaultKind,
+    FleetConfig,
+    LoadConfig,
+    ServerConfig,
+)
+from quota_gateway.lab.simulation.run_report import simulated_figures
+from quota_gateway.lab.simulation.simulation import Simulation
+from tests.lab.simulation.fleets import ROUGH_FAULTS, run_with_faults
+
+
+def test_faults_have_their_effect_and_no_rule_is_broken() -> None:
+    quiet, rough = run_with_faults(duration_s=8.0), run_with_faults(*ROUGH_FAULTS, duration_s=8.0)
+    assert quiet.metrics.service["unreached"] == 0
+    assert rough.metrics.service["unreached"] > 0
+    assert rough.metrics.recovery_us.report()["count"] == 3
+    assert len(rough.servers.by_name) == 9 + 4
+    assert simulated_figures(rough)["world"]["servers_up"] == 9
+    assert rough.metrics.messages["server"]["unreachable"] > 0
+    assert rough.metrics.messages["counter"]["answered_timeout"] > 0
+    broken = simulated_figures(rough)["rules"]
+    assert {rule: n for rule, n in broken.items() if n and rule != "cut_by_drain"} == {}
+
+
+@pytest.mark.parametrize("kind", ["rack_lost", "servers_hung", "servers_crashed"])
+def test_lost_servers_come_back(kind: FaultKind) -> None:
+    simulation = run_with_faults(FaultConfig(kind=kind, at_s=1.0, duration_s=1.5, count=3), duration_s=9.0)
+    assert simulated_figures(simulation)["world"]["servers_up"] == 9
+    restarted = 0 if kind == "servers_hung" else 3
+    assert sum(server.started_ms > 0 for server in simulation.servers.by_name.values()) == restarted
+    assert simulation.metrics.service["lost"] == 0
+
+
+def test_a_discovery_outage_and_a_cleared_counter_lose_no_answers() -> None:
+    simulation = run_with_faults(
+        FaultConfig(kind="discovery_down", at_s=1.0, duration_s=4.0),
+        FaultConfig(kind="servers_replaced", at_s=1.5, duration_s=1.0, share=0.3),
+        FaultConfig(kind="counter_emptied", at_s=3.0),
+        duration_s=8.0,
+    )
+    assert simulation.metrics.service["lost"] == 0
+    violations = simulation.metrics.violations
+    assert violations["late_drains_deemed"] == violations["late_drains_told"] == 0
+
+
+def test_timers_of_a_killed_process_do_not_reach_the_next_one() -> None:
+    quick = FaultConfig(kind="gateways_restarted", at_s=1.0, count=6, downtime_ms=(1.0, 1.0))
+    ticks = [run_with_faults(*faults).processor_time.events["TimerFired"] for faults in ((), (quick,))]
+    assert ticks[1] == pytest.approx(ticks[0], rel=0.05)
+
+
+def test_partitioned_regions_catch_up_on_changes_after_the_partition() -> None:
+    def deltas_sent(*faults: FaultConfig) -> int:
+        experiment = Experiment(
+            name="t",
+            duration_s=8.0,
+            fleet=FleetConfig(gateways=4, servers=12, visible_servers=6, regions=2, zones=4),
+            load=LoadConfig(requests_per_s=40.0, tenants=20, gateways_per_tenant=(1, 2)),
+            faults=faults,
+        )
+        simulation = Simulation(experiment, 1)
+        simulation.run()
+        assert simulation.metrics.service["lost"] == 0
+        violations = simulation.metrics.violations
+        assert violations["late_drains_deemed"] == violations["late_drains_told"] == 0
+        versions = [gateway.watch.version or 0 for gateway in simulation.gateways]
+        histories = simulation.discovery.histories
+        assert versions == [histories[gateway.pool_number].version for gateway in simulation.gateways]
+        return simulation.metrics.messages["discovery"]["change_lists"]
+
+    replaced = FaultConfig(kind="servers_replaced", at_s=1.0, duration_s=1.0, share=1.0)
+    partition = FaultConfig(kind="regions_apart", at_s=0.5, duration_s=6.0)
+    assert deltas_sent(replaced) > deltas_sent(partition, replaced) > 0
+
+
+def test_a_surge_raises_demand_while_it_lasts() -> None:
+    quiet = run_with_faults()
+    surge = run_with_faults(FaultConfig(kind="surge", at_s=1.0, duration_s=4.0, share=1.0, factor=3.0))
+    ratio = surge.metrics.service["first_tries"] / quiet.metrics.service["first_tries"]
+    assert 1.9 < ratio < 2.8  # three times for four seconds of six, from the next batch on
+
+
+def test_sudden_load_on_warming_servers_is_counted_as_failures() -> None:
+    # All servers restart at once with hardly a budget: nobody can hold the load.
+    simulation = run_with_faults(
+        FaultConfig(kind="servers_crashed", at_s=1.0, duration_s=0.1, share=1.0),
+        servers=ServerConfig(
+            initial_capacity_share=0.01, overload_factor=0.1, overload_window_ms=500.0, startup_ms=(0.0, 0.0)
+        ),
+        duration_s=8.0,
+    )
+    assert simulated_figures(simulation)["rules"]["cold_falls"] == len(simulation.metrics.cold_failures) > 0
+    for failure in simulation.metrics.cold_failures:
+        assert failure.calls > failure.budget + 2.0 * failure.budget**0.5 + 2.0
