--- a/quota_gateway/lab/simulation/gateways.py
+++ b/quota_gateway/lab/simulation/gateways.py
@@ -13,7 +13,7 @@
 from quota_gateway.lab.simulation.random_streams import random_stream
 from quota_gateway.lab.simulation.records import ClientAttempt
 from quota_gateway.lab.simulation.server_attempts import ServerAttempts
-from quota_gateway.network.__main__ import LIST_WAIT_S
+from quota_gateway.network.process import FIRST_LIST_TIMEOUT_S
 from quota_gateway.policy.gateway import Gateway
 from quota_gateway.policy_api.actions import (
     Action,
@@ -108,7 +108,7 @@
         self.notices.clear()
         endpoints = environment.discovery.histories[self.pool_number].at_version(self.known_version)
         self.started_at = environment.scheduler.now
-        self.ready_at = self.started_at + 1000.0 * LIST_WAIT_S
+        self.ready_at = self.started_at + 1000.0 * FIRST_LIST_TIMEOUT_S
         self.start(EndpointUpdate(UpdateKind.CACHED_SNAPSHOT, endpoints), self.known_version)
 
     # --- clients ------------------------------------------------------------------------------------------
