--- a/quota_gateway/lab/simulation/server_attempts.py
+++ b/quota_gateway/lab/simulation/server_attempts.py
@@ -12,7 +12,7 @@
 from quota_gateway.lab.simulation.records import ClientAttempt, ServerAttempt
 from quota_gateway.lab.simulation.servers import ServerState, ServerTask
 from quota_gateway.lab.simulation.wire_sizes import VALUE_BYTES
-from quota_gateway.network.bridge import ANSWER_MARGIN_S
+from quota_gateway.network.bridge import RESPONSE_MARGIN_S
 from quota_gateway.policy_api.actions import StartAttempt
 from quota_gateway.policy_api.events import AttemptCompleted, CallOutcome
 
@@ -55,7 +55,7 @@
             self._complete_unsent(action, 0, final=True)
             return
         number, request.server_attempts = request.server_attempts, request.server_attempts + 1
-        timeout_ms = request.deadline - 1000.0 * ANSWER_MARGIN_S - now
+        timeout_ms = request.deadline - 1000.0 * RESPONSE_MARGIN_S - now
         if action.timeout_ms > 0:
             timeout_ms = min(timeout_ms, action.timeout_ms)
         if timeout_ms <= 0 or number >= self._max_attempts or request.current is not None:
--- a/quota_gateway/network/descriptors.py
+++ b/quota_gateway/network/descriptors.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from quota_gateway.network.client_connection import MOST_SPARE
 from quota_gateway.network.counter_client import LINKS
+from quota_gateway.network.listener import MAX_REFUSED_CONNECTIONS
 
 # Descriptors that are neither a client's nor a server's: the counter's connections, twice while its address
 # changes; discovery's connection and the next one; the listener; the standard streams; the event loop's and
@@ -30,6 +30,6 @@
     """
     available = max_sockets - RESERVED_DESCRIPTORS
     servers = min(max_sockets * 3 // 10, available * 3 // 8)
-    spare_clients = min(MOST_SPARE, available // 6)
+    spare_clients = min(MAX_REFUSED_CONNECTIONS, available // 6)
     clients = min(max_sockets // 2, available - servers - spare_clients)
     return DescriptorBudget(servers, clients, spare_clients)
--- a/quota_gateway/network/process.py
+++ b/quota_gateway/network/process.py
@@ -13,16 +13,16 @@
 from collections.abc import Mapping
 from dataclasses import replace
 
-from quota_gateway.network.bridge import Decisions, Gateway
-from quota_gateway.network.client_connection import Listener
-from quota_gateway.network.commands import Bounds, Catalogue
+from quota_gateway.network.bridge import Policy, PolicyBridge
+from quota_gateway.network.commands import CommandParser, RequestLimits
 from quota_gateway.network.config import ConfigError, GatewayConfig, load_config
 from quota_gateway.network.counter_client import Counter
 from quota_gateway.network.descriptors import allocate_descriptors
 from quota_gateway.network.discovery.watch import Discovery
+from quota_gateway.network.listener import Listener
 from quota_gateway.network.log_setup import log_event
-from quota_gateway.network.server_pool import Limits, Servers, idle_s
-from quota_gateway.policy.gateway import Gateway as Policy
+from quota_gateway.network.server_pool import PoolLimits, ServerPools, idle_limit_s
+from quota_gateway.policy.gateway import Gateway
 from quota_gateway.settings import NetworkSettings
 
 # A start waits this long for discovery's endpoint list before it serves by the cached one.
@@ -53,7 +53,7 @@
         self,
         config: GatewayConfig,
         loop: asyncio.AbstractEventLoop,
-        policy: Decisions | None = None,
+        policy: Policy | None = None,
         environ: Mapping[str, str] | None = None,
     ) -> None:
         self.config = config
@@ -61,18 +61,23 @@
         self.loop = loop
         settings = config.settings
         descriptors = allocate_descriptors(config.max_sockets)
-        self.servers = Servers(loop, _server_limits(config.network, descriptors.servers))
+        self.server_pools = ServerPools(loop, _pool_limits(config.network, descriptors.servers))
         self.counter = self._make_counter()
-        self.gateway = Gateway(loop, policy or Policy(settings, config.seed), self.servers, self.counter)
-        bounds = Bounds(config.network.max_request_units, config.network.max_deadline_ms)
+        policy = policy or Gateway(settings, config.seed)
+        self.bridge = PolicyBridge(loop, policy, self.server_pools, self.counter)
+        request_limits = RequestLimits(config.network.max_request_units, config.network.max_deadline_ms)
         self.listener = Listener(
-            loop, self.gateway, Catalogue(settings, bounds), descriptors.clients, descriptors.spare_clients
+            loop,
+            self.bridge,
+            CommandParser(settings, request_limits),
+            max_connections=descriptors.clients,
+            max_refused=descriptors.spare_clients,
         )
         callers = settings.gateway_count if settings.watch_required else 0
         self.discovery = Discovery(
             loop,
             config.discovery_address,
-            self.gateway.news,
+            self.bridge.endpoint_update_steps,
             config.seed,
             callers,
             settings.gateway_index,
@@ -113,7 +118,7 @@
         """
         cached = self.config.cached_endpoints
         if cached is not None:
-            for _ in self.gateway.news(cached):
+            for _ in self.bridge.endpoint_update_steps(cached):
                 await asyncio.sleep(0)
         self.discovery.start(cached.version if cached is not None else None)
         await _wait_for_event(self.discovery.first, FIRST_LIST_TIMEOUT_S)
@@ -160,16 +165,16 @@
         """
         started_at = self.loop.time()
         await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
-        self.listener.stop()
+        self.listener.drain()
         drain_end = started_at + drain_duration_s(self.config.network.max_deadline_ms)
         await self._wait_for_clients(drain_end)
-        self.gateway.leave()
+        self.bridge.shut_down()
         await self._wait_for_clients(max(drain_end, self.loop.time()) + REPLY_FLUSH_TIMEOUT_S)
         await self.close()
 
     async def _wait_for_clients(self, deadline: float) -> None:
         """Wait until no client is connected, until `deadline` in the loop's time at most."""
-        while self.listener.clients and self.loop.time() < deadline:
+        while self.listener.connections and self.loop.time() < deadline:
             await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
 
     async def close(self) -> None:
@@ -178,7 +183,7 @@
         self.discovery.close()
         if self.counter is not None:
             self.counter.close()
-        self.servers.close()
+        self.server_pools.close()
         await asyncio.sleep(0)
 
 
@@ -188,12 +193,12 @@
     return deadline_s + KILL_AFTER_DEADLINE_S - SHUTDOWN_MARGIN_S
 
 
-def _server_limits(network: NetworkSettings, max_connections: int) -> Limits:
-    return Limits(
-        connect_s=network.connect_timeout_ms / 1000.0,
-        idle_s=idle_s(network.connection_idle_ms / 1000.0),
-        grace_s=network.drain_grace_ms / 1000.0,
-        connections=max_connections,
+def _pool_limits(network: NetworkSettings, max_connections: int) -> PoolLimits:
+    return PoolLimits(
+        connect_timeout_s=network.connect_timeout_ms / 1000.0,
+        idle_s=idle_limit_s(network.connection_idle_ms / 1000.0),
+        drain_grace_s=network.drain_grace_ms / 1000.0,
+        max_connections=max_connections,
     )
 
 
