--- a/quota_gateway/lab/cli/load.py
+++ b/quota_gateway/lab/cli/load.py
@@ -8,7 +8,7 @@
 import typer
 
 from quota_gateway.lab.cli.trial_command import perform
-from quota_gateway.lab.fakes import ServerModel
+from quota_gateway.lab.fakes.server import ServerModel
 from quota_gateway.lab.load.client import LoadPlan
 from quota_gateway.lab.load.fault_injection import read
 from quota_gateway.lab.load.testbed import Shape
--- a/quota_gateway/lab/fakes/counter.py
+++ b/quota_gateway/lab/fakes/counter.py
@@ -1,11 +1,11 @@
-"""A stand-in for the shared counter: INCRTTL on RESP2, numbers by name, parts of bounded capacity.
+"""A fake of the shared counter: INCRTTL on RESP2, numbers by name, partitions of bounded capacity.
 
-From PROTOCOL, "The counter". Each name belongs to one part; a part takes up its calls one by one, and what
-would have to wait for its turn longer than `longest_wait_ms` is turned away by ``-BUSY`` with nothing added.
-An amount is added when its turn comes, whether or not the caller still listens.
+From PROTOCOL, "The counter". Each name belongs to one partition, which serves its calls one by one; a call
+that would be queued for longer than `max_queue_wait_ms` is rejected with ``-BUSY`` and nothing is added.
+An amount is added when the call is served, whether or not the caller is still connected.
 
-Unlike the real one it limits connections over all gateways together, because those on one loopback address
-can't be told apart, and it does not turn callers away before a run begins.
+Unlike the real counter it limits connections over all gateways together, as those on one loopback address
+cannot be told apart, and it does not reject calls before a run begins.
 """
 
 from __future__ import annotations
@@ -15,130 +15,158 @@
 import zlib
 from dataclasses import dataclass
 
-from quota_gateway.lab.fakes.faults import SPOILT, Fault, FaultKind
-from quota_gateway.lab.fakes.loopback_server import BUSY, OK, PONG, RespEndpoint, Slot, bulk
-
-MOST_NAME = 64  # bytes
-MOST_AMOUNT = 1e9
-MOST_TTL_MS = 60_000.0
-FORGET_EVERY = 1024  # calls between two sweeps of names whose life has ended
-SUPPORTED = (FaultKind.RESET, FaultKind.SILENCE, FaultKind.LATE, FaultKind.SPOILT, FaultKind.UNAVAILABLE)
+from quota_gateway.lab.fakes.faults import MALFORMED_REPLIES, Fault, FaultKind
+from quota_gateway.lab.fakes.resp_server import (
+    BUSY,
+    CONNECTION_COMMANDS,
+    UNKNOWN_COMMAND,
+    PendingReply,
+    RespServer,
+    bulk_string,
+)
+
+INVALID_CALL = b"-ERR no such call\r\n"
+MAX_NAME_BYTES = 64
+MAX_AMOUNT = 1e9
+MAX_TTL_MS = 60_000.0
+EXPIRE_EVERY_CALLS = 1024  # calls between two removals of expired names
+SUPPORTED_FAULTS = (
+    FaultKind.RESET,
+    FaultKind.NO_REPLY,
+    FaultKind.DELAY,
+    FaultKind.MALFORMED_REPLY,
+    FaultKind.UNAVAILABLE,
+)
 
 
 @dataclass(frozen=True, slots=True)
 class CounterModel:
-    """What the counter can do."""
+    """What the counter can do.
+
+    Raises:
+        ValueError: a figure is out of range.
+    """
 
-    parts: int = 1
-    per_part: float = 5000.0  # calls a second that a part takes up
-    answer_ms: float = 0.0  # from the end of a call's turn to its answer
-    longest_wait_ms: float = 100.0
-    idle_ms: float = 10_000.0
-    connections: int = 1024  # further ones are reset
+    partitions: int = 1
+    calls_per_s: float = 5000.0  # that one partition serves
+    reply_delay_ms: float = 0.0  # from the end of a call's service to its reply
+    max_queue_wait_ms: float = 100.0
+    idle_timeout_ms: float = 10_000.0
+    max_connections: int = 1024  # further ones are reset
 
     def __post_init__(self) -> None:
-        figures = (self.answer_ms, self.longest_wait_ms, self.idle_ms)
-        if self.parts < 1 or self.connections < 1 or not (math.isfinite(self.per_part) and self.per_part > 0):
-            raise ValueError("a counter has at least one part, one connection and some capacity")
-        if not all(math.isfinite(each) and each >= 0.0 for each in figures):
+        times = (self.reply_delay_ms, self.max_queue_wait_ms, self.idle_timeout_ms)
+        has_capacity = math.isfinite(self.calls_per_s) and self.calls_per_s > 0
+        if self.partitions < 1 or self.max_connections < 1 or not has_capacity:
+            raise ValueError("a counter has at least one partition, one connection and some capacity")
+        if not all(math.isfinite(time_ms) and time_ms >= 0.0 for time_ms in times):
             raise ValueError("a counter's times are at least 0")
 
 
 @dataclass(slots=True)
-class Name:
-    """One number. Its life is set by the first call and does not grow by later ones."""
+class CounterValue:
+    """One number. Its expiry is set by the first call and not moved by later ones."""
 
     total: float
-    dies: float  # seconds of `time.monotonic`
+    expires_at: float  # seconds of `time.monotonic`
+
+
+@dataclass(frozen=True, slots=True)
+class IncrementCall:
+    """A well-formed ``INCRTTL NAME AMOUNT TTL``."""
 
+    name: bytes
+    amount: float
+    ttl_ms: float
 
-class CounterStandIn(RespEndpoint):
-    """The counter of a run."""
+
+class FakeCounter(RespServer):
+    """The shared counter of a run."""
 
     def __init__(self, model: CounterModel, seed: int = 0) -> None:
-        super().__init__(SUPPORTED, seed, model.idle_ms / 1000.0)
+        super().__init__(SUPPORTED_FAULTS, seed, model.idle_timeout_ms / 1000.0)
         self.model = model
-        self.calls = 0
-        self.turned_away = 0
-        self._names: dict[bytes, Name] = {}
-        self._free_at = [0.0] * model.parts
-
-    def command(self, slot: Slot, words: list[bytes]) -> None:
-        verb = words[0].upper()
-        if len(self.connections) > self.model.connections and slot.first:
-            slot.connection.reset()
-        elif verb == b"INCRTTL":
-            self._call(slot, words)
-        elif verb == b"PING":
-            slot.fill(PONG)
-        elif verb in (b"CLIENT", b"SELECT"):
-            slot.fill(OK)
+        self.call_count = 0
+        self.rejected_count = 0
+        self._values: dict[bytes, CounterValue] = {}
+        self._partition_free_at = [0.0] * model.partitions
+
+    def handle_command(self, pending: PendingReply, arguments: list[bytes]) -> None:
+        """Carry out one command."""
+        command = arguments[0].upper()
+        if len(self.connections) > self.model.max_connections and pending.first_on_connection:
+            pending.connection.reset()
+        elif command == b"INCRTTL":
+            self._handle_increment(pending, arguments)
         else:
-            slot.fill(b"-ERR unknown command\r\n")
+            pending.complete(CONNECTION_COMMANDS.get(command, UNKNOWN_COMMAND))
 
     def total(self, name: bytes) -> float | None:
-        """What a name holds; None once its life has ended."""
-        found = self._names.get(name)
-        return found.total if found is not None and found.dies > time.monotonic() else None
-
-    def _call(self, slot: Slot, words: list[bytes]) -> None:
-        self.calls += 1
-        parsed = _parse(words)
-        if parsed is None:
-            slot.fill(b"-ERR no such call\r\n")
+        """Return the total of a name; None if it is unknown or has expired."""
+        value = self._values.get(name)
+        return value.total if value is not None and value.expires_at > time.monotonic() else None
+
+    def _handle_increment(self, pending: PendingReply, arguments: list[bytes]) -> None:
+        self.call_count += 1
+        call = _parse_increment(arguments)
+        if call is None:
+            pending.complete(INVALID_CALL)
             return
-        fault = self.faults.strike()
-        wait_s = self._turn(words[1])
+        fault = self.faults.draw()
+        wait_s = self._reserve_service(call.name)
         if wait_s is None or (fault is not None and fault.kind is FaultKind.UNAVAILABLE):
-            self.turned_away += 1
-            slot.fill(BUSY)
+            self.rejected_count += 1
+            pending.complete(BUSY)
             return
-        self.loop.call_later(wait_s, self._add, slot, words[1], *parsed, fault)
+        self.loop.call_later(wait_s, self._increment, pending, call, fault)
 
-    def _turn(self, name: bytes) -> float | None:
-        """Seconds until the turn of a call has ended; None if it would wait too long for it to begin."""
-        part = zlib.crc32(name) % self.model.parts
+    def _reserve_service(self, name: bytes) -> float | None:
+        """Return the seconds until a call will have been served; None if it would be queued for too long."""
+        partition = zlib.crc32(name) % self.model.partitions
         now = time.monotonic()
-        begins = max(now, self._free_at[part])
-        if begins - now > self.model.longest_wait_ms / 1000.0:
+        starts_at = max(now, self._partition_free_at[partition])
+        if starts_at - now > self.model.max_queue_wait_ms / 1000.0:
             return None
-        self._free_at[part] = begins + 1.0 / self.model.per_part
-        return self._free_at[part] - now
+        self._partition_free_at[partition] = starts_at + 1.0 / self.model.calls_per_s
+        return self._partition_free_at[partition] - now
 
-    def _add(self, slot: Slot, name: bytes, amount: float, ttl_ms: float, fault: Fault | None) -> None:
+    def _increment(self, pending: PendingReply, call: IncrementCall, fault: Fault | None) -> None:
         now = time.monotonic()
-        found = self._names.get(name)
-        if found is None or found.dies <= now:
-            found = self._names[name] = Name(0.0, now + ttl_ms / 1000.0)
-        found.total += amount
-        if not self.calls % FORGET_EVERY:
-            self._names = {key: each for key, each in self._names.items() if each.dies > now}
-        self._answer(slot, b"%.10g" % found.total, fault)
-
-    def _answer(self, slot: Slot, total: bytes, fault: Fault | None) -> None:
-        if fault is not None and fault.kind is FaultKind.RESET:
-            slot.connection.reset()
-            return
-        if fault is not None and fault.kind is FaultKind.SILENCE:
-            return
-        if fault is not None and fault.kind is FaultKind.SPOILT:
-            slot.fill(self.rng.choice(SPOILT))
-            return
-        late_ms = self.model.answer_ms + (fault.delay_ms if fault is not None else 0.0)
-        if late_ms:
-            self.loop.call_later(late_ms / 1000.0, slot.fill, bulk(total))
+        value = self._values.get(call.name)
+        if value is None or value.expires_at <= now:
+            value = self._values[call.name] = CounterValue(0.0, now + call.ttl_ms / 1000.0)
+        value.total += call.amount
+        if not self.call_count % EXPIRE_EVERY_CALLS:
+            self._values = {name: kept for name, kept in self._values.items() if kept.expires_at > now}
+        self._reply(pending, b"%.10g" % value.total, fault)
+
+    def _reply(self, pending: PendingReply, total: bytes, fault: Fault | None) -> None:
+        delay_ms = self.model.reply_delay_ms
+        if fault is not None:
+            match fault.kind:
+                case FaultKind.RESET:
+                    pending.connection.reset()
+                    return
+                case FaultKind.NO_REPLY:
+                    return
+                case FaultKind.MALFORMED_REPLY:
+                    pending.complete(self.rng.choice(MALFORMED_REPLIES))
+                    return
+            delay_ms += fault.delay_ms
+        if delay_ms:
+            self.loop.call_later(delay_ms / 1000.0, pending.complete, bulk_string(total))
         else:
-            slot.fill(bulk(total))
+            pending.complete(bulk_string(total))
 
 
-def _parse(words: list[bytes]) -> tuple[float, float] | None:
-    """Amount and life in milliseconds of ``INCRTTL NAME AMOUNT TTL``; None for a call that is none."""
-    if len(words) != 4 or not 1 <= len(words[1]) <= MOST_NAME:
+def _parse_increment(arguments: list[bytes]) -> IncrementCall | None:
+    """Parse ``INCRTTL NAME AMOUNT TTL``; None for a call that is not valid."""
+    if len(arguments) != 4 or not 1 <= len(arguments[1]) <= MAX_NAME_BYTES:
         return None
     try:
-        amount, ttl_ms = float(words[2]), float(words[3])
+        amount, ttl_ms = float(arguments[2]), float(arguments[3])
     except ValueError:
         return None
-    if not (math.isfinite(amount) and abs(amount) <= MOST_AMOUNT and ttl_ms >= 1.0):
+    if not (math.isfinite(amount) and abs(amount) <= MAX_AMOUNT and ttl_ms >= 1.0):
         return None
-    return amount, min(ttl_ms, MOST_TTL_MS)
+    return IncrementCall(arguments[1], amount, min(ttl_ms, MAX_TTL_MS))
--- a/quota_gateway/lab/fakes/faults.py
+++ b/quota_gateway/lab/fakes/faults.py
@@ -1,8 +1,8 @@
-"""Faults that a stand-in can be told to have.
+"""Faults that can be injected into a fake.
 
-A fault is data, so that a load tool can read it from a file, put it in force at a time and print it. Each
-stand-in names the kinds that it can show in `supported` and turns down the others when they are injected, not
-when they would strike.
+A fault is plain data, so that a load test can read it from its command line, activate it at a given time and
+print it. Each fake names the kinds that it can show; any other kind is refused when it is injected, not when
+a call would meet it.
 """
 
 from __future__ import annotations
@@ -15,21 +15,24 @@
 
 
 class FaultKind(Enum):
-    """What goes wrong with a call; the right column of PROTOCOL's tables says what the caller sees."""
+    """What happens to a call. The values are the names that operators type.
 
-    RESET = "reset"  # the connection breaks after the call was read
-    SILENCE = "silence"  # no answer, on a connection that stays open
-    LATE = "late"  # the answer comes `delay_ms` later
-    PARTIAL = "partial"  # half of the answer comes, then the end of the connection
-    SPOILT = "spoilt"  # bytes that are no answer, on a connection that stays open and is of no further use
-    ERROR = "error"  # an error answer: the call may have run
-    UNAVAILABLE = "unavailable"  # turned away: -BUSY, or 503 over HTTP
-    CUT = "cut"  # the machine is off the network: nothing gets in or out (no stand-in shows this one yet)
+    PROTOCOL's tables say what each of them amounts to for the caller.
+    """
 
+    RESET = "reset"  # the connection is reset after the call was read
+    NO_REPLY = "silence"  # no reply, on a connection that stays open
+    DELAY = "late"  # the reply comes `delay_ms` later
+    PARTIAL_REPLY = "partial"  # half of the reply, then the end of the connection
+    MALFORMED_REPLY = "spoilt"  # bytes that are no reply; the connection stays open but cannot be used again
+    ERROR = "error"  # an error reply: the call may have run
+    UNAVAILABLE = "unavailable"  # rejected: -BUSY, or 503 over HTTP
+    PARTITION = "cut"  # the machine is off the network: nothing gets in or out (no fake shows this one yet)
 
-# What spoilt answers look like, after DAYS, "Bad servers": noise, a line that has no end, lengths that do not
-# fit what follows, and a value said to hold 3 GB.
-SPOILT = (
+
+# After DAYS, "Bad servers": noise, a line without an end, lengths that do not fit what follows, and a value
+# announced as 3 GB.
+MALFORMED_REPLIES = (
     b"\x00\xfe\x1f?!\r\n\r\n",
     b"-" + b"x" * 4096,
     b"*3\r\n$2\r\ntoo long for that\r\n$-1\r\n$-1\r\n",
@@ -40,28 +43,32 @@
 
 
 class FaultError(ValueError):
-    """A fault that can't be shown."""
+    """A fault that is not valid, or that a fake cannot show; the text is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One kind of trouble: each call meets it with probability `share`."""
+    """One kind of fault, which each call meets with a probability.
+
+    Raises:
+        FaultError: the probability or the delay is out of range.
+    """
 
     kind: FaultKind
-    share: float = 1.0
-    delay_ms: float = 0.0  # LATE only
+    probability: float = 1.0
+    delay_ms: float = 0.0  # DELAY only
 
     def __post_init__(self) -> None:
-        if not 0.0 < self.share <= 1.0:
-            raise FaultError(f"the share of a fault is above 0 and at most 1, not {self.share}")
+        if not 0.0 < self.probability <= 1.0:
+            raise FaultError(f"the share of a fault is above 0 and at most 1, not {self.probability}")
         if not (math.isfinite(self.delay_ms) and self.delay_ms >= 0.0):
             raise FaultError(f"a delay is at least 0 ms, not {self.delay_ms}")
-        if (self.kind is FaultKind.LATE) != (self.delay_ms > 0.0):
+        if (self.kind is FaultKind.DELAY) != (self.delay_ms > 0.0):
             raise FaultError("a late answer, and nothing else, has a delay")
 
 
-class Faults:
-    """The faults in force at one stand-in."""
+class FaultInjector:
+    """The faults that are active at one fake."""
 
     def __init__(self, supported: Collection[FaultKind], rng: random.Random) -> None:
         self.supported = frozenset(supported)
@@ -69,22 +76,22 @@
         self._active: list[Fault] = []
 
     def inject(self, fault: Fault) -> None:
-        """Puts a fault in force beside the others. Raises FaultError if this stand-in can't show it."""
+        """Activate a fault beside the others. Raises FaultError if this fake cannot show it."""
         if fault.kind not in self.supported:
-            raise FaultError(f"this stand-in can't show the fault {fault.kind.value!r}")
+            raise FaultError(f"this fake can't show the fault {fault.kind.value!r}")
         self._active.append(fault)
 
-    def withdraw(self, fault: Fault) -> None:
-        """Ends one fault. Raises ValueError if it is not in force."""
+    def remove(self, fault: Fault) -> None:
+        """Deactivate one fault. Raises ValueError if it is not active."""
         self._active.remove(fault)
 
     def clear(self) -> None:
-        """Ends all faults; calls that one has already met stay as they are."""
+        """Deactivate all faults; calls that have already met one are not affected."""
         self._active.clear()
 
-    def strike(self) -> Fault | None:
-        """The fault that the next call meets, if any; of several the first that was injected."""
+    def draw(self) -> Fault | None:
+        """Draw the fault that the next call meets, if any; of several the one injected first."""
         for fault in self._active:
-            if self._rng.random() < fault.share:
+            if self._rng.random() < fault.probability:
                 return fault
         return None
--- a/quota_gateway/lab/load/client.py
+++ b/quota_gateway/lab/load/client.py
@@ -25,7 +25,8 @@
 import numpy
 from hdrh.histogram import HdrHistogram
 
-from quota_gateway.lab.fakes import Ledger, made_for
+from quota_gateway.lab.fakes.attempt_log import AttemptLog
+from quota_gateway.lab.fakes.server import request_id_of
 from quota_gateway.lab.load.deployment import Site
 
 MOST_REQUESTS = 1_000_000
@@ -285,7 +286,7 @@
     """An answer as PROTOCOL's first table reads it; of a value, the second part is the id it was made for."""
     value = reply[0] if isinstance(reply, list) and reply else reply
     if isinstance(value, bytes):
-        return Outcome.SERVED, made_for(value).decode("ascii", "replace")
+        return Outcome.SERVED, request_id_of(value).decode("ascii", "replace")
     if isinstance(reply, hiredis.ReplyError):
         word, _, wait = str(reply).partition(" ")
         if word == "BUSY" and (not wait or wait.isdigit()):
@@ -322,12 +323,12 @@
         """Requests that were to be sent."""
         return sum(self.counts.values())
 
-    def add(self, request: Request, ledger: Ledger) -> None:
+    def add(self, request: Request, ledger: AttemptLog) -> None:
         """Books a request that is over."""
-        attempts = ledger.of(request.request_id)
+        attempts = ledger.attempts_of(request.request_id)
         again = request.sent_again
         self.sent_again += again is not None
-        if again is not None and any(attempt.arrived < again for attempt in attempts):
+        if again is not None and any(attempt.arrived_at < again for attempt in attempts):
             # It had been sent on already, so the gateway's close of the connection lost it.
             request.outcome, request.why = Outcome.LOST, "connection ended after it was sent on"
         if request.outcome is Outcome.LOST:
@@ -335,19 +336,21 @@
         elif request.sent:
             self.late += request.ended - request.sent > request.wait_s + LATE_S
         self.counts[request.outcome] += 1
-        self.ran_twice += request.unsafe and ledger.runs(request.request_id) > 1
+        self.ran_twice += request.unsafe and ledger.executions(request.request_id) > 1
         record(self.latency[request.outcome], request.ended - request.due)
         if request.sent:
             record(self.pacing, (again or request.sent) - request.due)
         if request.outcome is Outcome.SERVED:
-            at_servers = sum(attempt.spent_s() for attempt in attempts)
+            at_servers = sum(attempt.time_at_server_s for attempt in attempts)
             record(self.added, request.ended - request.due - at_servers)
 
 
 class Load:
     """One run of a schedule. `targets` are the gateways' addresses, in the order of their numbers."""
 
-    def __init__(self, targets: Sequence[tuple[str, int]], requests: list[Request], ledger: Ledger) -> None:
+    def __init__(
+        self, targets: Sequence[tuple[str, int]], requests: list[Request], ledger: AttemptLog
+    ) -> None:
         self.loop = asyncio.get_running_loop()
         self.tally = Tally()
         self.over = False
--- a/quota_gateway/lab/load/fault_injection.py
+++ b/quota_gateway/lab/load/fault_injection.py
@@ -15,7 +15,9 @@
 from dataclasses import dataclass
 from functools import partial
 
-from quota_gateway.lab.fakes import Fault, FaultError, FaultKind, Faults, ServerRow, ServerStandIn
+from quota_gateway.lab.fakes.discovery import ListedServer
+from quota_gateway.lab.fakes.faults import Fault, FaultError, FaultInjector, FaultKind
+from quota_gateway.lab.fakes.server import FakeServer
 from quota_gateway.lab.load.testbed import Rig
 
 DRAIN = "drain"
@@ -104,29 +106,29 @@
         for faults in self._faults(trouble):
             if trouble.fault.kind not in faults.supported:
                 raise TroubleError(f"{trouble.text!r}: {trouble.target} can't show this kind")
-            self._add(trouble, partial(faults.inject, trouble.fault), partial(faults.withdraw, trouble.fault))
+            self._add(trouble, partial(faults.inject, trouble.fault), partial(faults.remove, trouble.fault))
 
     def _add(self, trouble: Trouble, begin: Callable[[], None], end: Callable[[], None]) -> None:
         self._steps += [(trouble.begin_s, begin), (trouble.end_s, end)]
 
-    def _servers(self, trouble: Trouble) -> list[ServerStandIn]:
+    def _servers(self, trouble: Trouble) -> list[FakeServer]:
         wanted = [each for each in self._rig.servers if trouble.target in ("servers", each.name)]
         if not wanted:
             raise TroubleError(f"{trouble.text!r}: there is no {trouble.target!r} for it")
         return wanted
 
-    def _faults(self, trouble: Trouble) -> list[Faults]:
+    def _faults(self, trouble: Trouble) -> list[FaultInjector]:
         if trouble.target == "counter":
             return [self._rig.counter.faults]
         if trouble.target == "discovery":
             return [self._rig.discovery.faults]
         return [each.faults for each in self._servers(trouble)]
 
-    def _drain(self, server: ServerStandIn) -> None:
+    def _drain(self, server: FakeServer) -> None:
         server.draining = True
-        self._rig.discovery.drain(server.name)
+        self._rig.discovery.mark_draining(server.name)
 
-    def _anew(self, server: ServerStandIn) -> None:
+    def _anew(self, server: FakeServer) -> None:
         """What drained is back, started now and with its full strength: stand-ins are not slow when cold."""
         server.draining = False
-        self._rig.discovery.put(ServerRow(server.name, server.address, started_ms=1000.0 * time.time()))
+        self._rig.discovery.put(ListedServer(server.name, server.address, started_ms=1000.0 * time.time()))
--- a/quota_gateway/lab/load/gateway_process.py
+++ b/quota_gateway/lab/load/gateway_process.py
@@ -16,7 +16,7 @@
 
 import structlog
 
-from quota_gateway.lab.fakes import LOOPBACK
+from quota_gateway.lab.fakes.loopback_server import LOOPBACK
 
 READY_S = 15.0  # a start takes a tenth of a second; a crowded machine may take long
 END_S = 8.0  # from SIGTERM: the longest deadline counts as 3 s, and 0.7 s more
--- a/quota_gateway/lab/load/quota_audit.py
+++ b/quota_gateway/lab/load/quota_audit.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from quota_gateway.lab.fakes import Ledger
+from quota_gateway.lab.fakes.attempt_log import AttemptLog
 from quota_gateway.lab.load.client import Outcome, Request
 from quota_gateway.lab.load.deployment import Plan, Site
 
@@ -42,7 +42,7 @@
     refused_half_full: int = 0  # refused while it did and was half full: BENCH, refused_with_room_share
 
 
-def audit(site: Site, requests: Iterable[Request], ledger: Ledger) -> Quotas:
+def audit(site: Site, requests: Iterable[Request], ledger: AttemptLog) -> Quotas:
     """Replays a run that is over."""
     plans = {plan.name: plan for plan in site.packages if plan.per_second}
     found = Quotas()
@@ -66,11 +66,11 @@
     return found
 
 
-def _events(requests: Iterable[Request], ledger: Ledger) -> Iterable[tuple[float, Request, bool]]:
+def _events(requests: Iterable[Request], ledger: AttemptLog) -> Iterable[tuple[float, Request, bool]]:
     """When each request was first sent on, or refused without that."""
     for request in requests:
-        attempts = ledger.of(request.request_id)
+        attempts = ledger.attempts_of(request.request_id)
         if attempts:
-            yield attempts[0].arrived, request, True
+            yield attempts[0].arrived_at, request, True
         elif request.outcome in (Outcome.REFUSED_AFTER, Outcome.REFUSED):
             yield request.ended, request, False
--- a/quota_gateway/lab/load/testbed.py
+++ b/quota_gateway/lab/load/testbed.py
@@ -11,16 +11,11 @@
 
 import msgspec
 
-from quota_gateway.lab.fakes import (
-    CounterModel,
-    CounterStandIn,
-    DiscoveryStandIn,
-    Endpoint,
-    Ledger,
-    ServerModel,
-    ServerRow,
-    ServerStandIn,
-)
+from quota_gateway.lab.fakes.attempt_log import AttemptLog
+from quota_gateway.lab.fakes.counter import CounterModel, FakeCounter
+from quota_gateway.lab.fakes.discovery import FakeDiscovery, ListedServer
+from quota_gateway.lab.fakes.loopback_server import LoopbackServer
+from quota_gateway.lab.fakes.server import FakeServer, ServerModel
 from quota_gateway.lab.load import deployment as site
 from quota_gateway.lab.load.gateway_process import GatewayProcess
 
@@ -53,13 +48,13 @@
 
     def __init__(self, shape: Shape) -> None:
         self.shape = shape
-        self.ledger = Ledger()
+        self.ledger = AttemptLog()
         self.servers = [
-            ServerStandIn(f"s{number}", shape.model, self.ledger, shape.seed * MOST_SERVERS + number)
+            FakeServer(f"s{number}", shape.model, self.ledger, shape.seed * MOST_SERVERS + number)
             for number in range(shape.servers)
         ]
-        self.counter = CounterStandIn(shape.counter, shape.seed)
-        self.discovery = DiscoveryStandIn(shape.seed)
+        self.counter = FakeCounter(shape.counter, shape.seed)
+        self.discovery = FakeDiscovery(shape.seed)
         self.gateways: list[GatewayProcess] = []
         self._folder: tempfile.TemporaryDirectory[str] | None = None
 
@@ -80,7 +75,7 @@
         for endpoint in self._endpoints():
             await endpoint.start()
         for server in self.servers:
-            self.discovery.put(ServerRow(server.name, server.address))
+            self.discovery.put(ListedServer(server.name, server.address))
         self._folder = tempfile.TemporaryDirectory(prefix="quota-gateway-")
         for number in range(self.shape.gateways):
             gateway = GatewayProcess(f"gateway-{number}", Path(self._folder.name))
@@ -96,7 +91,7 @@
             for wait in waits:
                 wait.cancel()
 
-    def _endpoints(self) -> list[Endpoint]:
+    def _endpoints(self) -> list[LoopbackServer]:
         return [*self.servers, self.counter, self.discovery]
 
     def config(self, number: int) -> dict[str, Any]:
@@ -106,7 +101,7 @@
             "counter": self.counter.address,
             "seed": f"{self.shape.seed * MOST_GATEWAYS + number:016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": msgspec.to_builtins(self.discovery.whole()),
+            "known": msgspec.to_builtins(self.discovery.snapshot()),
             "settings": site.settings(self.shape.gateways, number),
         }
 
--- a/quota_gateway/lab/load/trial.py
+++ b/quota_gateway/lab/load/trial.py
@@ -19,7 +19,7 @@
 from rich.console import Console
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
-from quota_gateway.lab.fakes import LOOPBACK
+from quota_gateway.lab.fakes.loopback_server import LOOPBACK
 from quota_gateway.lab.load import deployment as site
 from quota_gateway.lab.load.client import (
     MEAN_UNITS,
@@ -100,7 +100,7 @@
     planned = Troubles(rig, troubles)
     async with rig:
         least = await _floor(rig, plan) if floor else None
-        direct = rig.ledger.outcomes()
+        direct = rig.ledger.count_by_outcome()
         before = [gateway.processor_s() for gateway in rig.gateways]
         began = time.process_time()
         load = Load([gateway.address for gateway in rig.gateways], requests, rig.ledger)
@@ -115,7 +115,9 @@
     for each, gateway in zip(figures, rig.gateways, strict=True):
         each.exit_status, each.killed = gateway.exit_status, gateway.killed
     made = _result(rig, plan, tally, figures, least, used)
-    made.attempts = {each: count - direct.get(each, 0) for each, count in rig.ledger.outcomes().items()}
+    made.attempts = {
+        each: count - direct.get(each, 0) for each, count in rig.ledger.count_by_outcome().items()
+    }
     made.troubles = [each.text for each in troubles]
     made.quotas = dataclasses.asdict(audit(served, requests, rig.ledger))
     return made
@@ -194,8 +196,8 @@
         added_ms=percentiles_ms(tally.added),
         floor_ms=floor,
         pacing_ms=percentiles_ms(tally.pacing),
-        counter_calls=rig.counter.calls,
-        counter_turned_away=rig.counter.turned_away,
+        counter_calls=rig.counter.call_count,
+        counter_turned_away=rig.counter.rejected_count,
         tool_processor_s=round(tool_s, 3),
     )
 
--- a/quota_gateway/lab/scaling/slopes.py
+++ b/quota_gateway/lab/scaling/slopes.py
@@ -26,7 +26,7 @@
 from rich.console import Console
 
 from quota_gateway.lab import results
-from quota_gateway.lab.fakes import DiscoveryStandIn
+from quota_gateway.lab.fakes.discovery import FakeDiscovery
 from quota_gateway.lab.load import deployment as site
 from quota_gateway.lab.load.gateway_process import GatewayProcess
 from quota_gateway.lab.simulation.wire_sizes import HTTP_HEAD, call_get, listing
@@ -272,7 +272,7 @@
 async def started(count: int, folder: Path) -> tuple[float, float]:
     """Processor time, ms, of a real gateway's process from its start to its first answer, with a saved list
     that discovery has no news of; and the most bytes that were resident in it soon after."""
-    discovery = DiscoveryStandIn()
+    discovery = FakeDiscovery()
     await discovery.start()
     process = GatewayProcess("gateway", folder)
     try:
--- /dev/null
+++ b/tests/lab/fakes/test_discovery.py
@@ -0,0 +1,105 @@
+"""The fake discovery: snapshots, watches, and the faults that it shows."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+
+import pytest
+
+from quota_gateway.lab.fakes.discovery import FakeDiscovery, ListedServer
+from quota_gateway.lab.fakes.faults import Fault, FaultKind
+from quota_gateway.network.discovery.watch import Discovery, News
+from tests.lab.fakes.harness import NO_REPLY_WAIT_S, http_get, run_with_connection, started
+from tests.network.harness import RespClient, run_scenario, wait_until
+
+
+def test_a_watch_waits_for_a_change_and_gets_a_delta() -> None:
+    async def scenario(discovery: FakeDiscovery, client: RespClient) -> None:
+        discovery.put(ListedServer("s0", "127.0.0.1:1"))
+        discovery.put(ListedServer("s1", "127.0.0.1:2"))
+        status, snapshot = await http_get(client)
+        assert status == 200
+        assert snapshot["full"]
+        assert [row["id"] for row in snapshot["servers"]] == ["s0", "s1"]
+        query = f"?since={snapshot['version']}&timeout_ms=20000"
+        watch = asyncio.ensure_future(http_get(client, query))
+        await wait_until(lambda: discovery._watches)
+        discovery.mark_draining("s1")
+        _, delta = await watch
+        assert not delta["full"]
+        assert delta["version"] == snapshot["version"] + 1
+        assert [(row["id"], row["state"]) for row in delta["servers"]] == [("s1", "Terminating")]
+        discovery.remove("s0")
+        _, both = await http_get(client, query)  # at once, as there is something newer
+        assert {row["id"]: row["state"] for row in both["servers"]} == {"s0": "Gone", "s1": "Terminating"}
+        _, rest = await http_get(client)
+        assert [row["id"] for row in rest["servers"]] == ["s1"]
+
+    run_with_connection(FakeDiscovery(), scenario)
+
+
+def test_a_watch_without_a_change_times_out_and_unknown_versions_get_a_snapshot() -> None:
+    async def scenario(discovery: FakeDiscovery, client: RespClient) -> None:
+        discovery.put(ListedServer("s0", "127.0.0.1:1"))
+        began = time.monotonic()
+        _, empty = await http_get(client, f"?since={discovery.version}&timeout_ms=40")
+        assert empty == {"version": discovery.version, "full": False, "servers": []}
+        assert time.monotonic() - began >= 0.035
+        discovery._oldest_version = discovery.version
+        for since in (discovery.version + 5, 0):
+            assert (await http_get(client, f"?since={since}&timeout_ms=40"))[1]["full"]
+        assert (await http_get(client, "?since=x&timeout_ms=1"))[0] == 400
+        assert (await http_get(client, "?since=1&timeout_ms=nan"))[0] == 400
+        assert (await http_get(client, path="/v2"))[0] == 404
+
+    run_with_connection(FakeDiscovery(), scenario)
+
+
+def test_servers_gone_since_long_are_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("quota_gateway.lab.fakes.discovery.HISTORY_VERSIONS", 3)
+    discovery = FakeDiscovery()
+    for number in range(10):
+        discovery.put(ListedServer(f"s{number}", "127.0.0.1:1"))
+        discovery.remove(f"s{number}")
+    assert len(discovery._servers) <= 3
+    assert discovery.changes_since(2).full
+    assert not discovery.changes_since(discovery.version - 1).full
+
+
+def test_the_gateways_own_watch_follows_the_fake() -> None:
+    async def scenario() -> None:
+        async with started(FakeDiscovery()) as discovery:
+            updates: list[News] = []
+            discovery.put(ListedServer("s0", "127.0.0.1:1"))
+
+            def on_update(update: News) -> tuple[()]:
+                updates.append(update)
+                return ()
+
+            watch = Discovery(asyncio.get_running_loop(), ("127.0.0.1", discovery.port), on_update)
+            watch.start()
+            await wait_until(lambda: updates)
+            discovery.mark_draining("s0")
+            await wait_until(lambda: len(updates) == 2)
+            assert [update.version for update in updates] == [2, 3]
+            watch.close()
+
+    run_scenario(scenario())
+
+
+def test_faulty_discovery_resets_does_not_reply_or_is_unavailable() -> None:
+    async def scenario(discovery: FakeDiscovery, client: RespClient) -> None:
+        discovery.faults.inject(Fault(FaultKind.UNAVAILABLE))
+        assert await http_get(client) == (503, None)
+        discovery.faults.clear()
+        assert (await http_get(client))[0] == 200  # on the same connection
+        discovery.faults.inject(Fault(FaultKind.NO_REPLY))
+        with pytest.raises(TimeoutError):
+            await asyncio.wait_for(http_get(client), NO_REPLY_WAIT_S)
+        discovery.faults.clear()
+        discovery.faults.inject(Fault(FaultKind.RESET))
+        with pytest.raises(ConnectionResetError):
+            await http_get(await RespClient.connect(discovery.port))
+
+    run_with_connection(FakeDiscovery(), scenario)
--- a/tests/lab/test_demo_load.py
+++ b/tests/lab/test_demo_load.py
@@ -9,7 +9,8 @@
 
 import pytest
 
-from quota_gateway.lab.fakes import Attempt, Ledger, ServerModel, ServerStandIn, made_for
+from quota_gateway.lab.fakes.attempt_log import Attempt, AttemptLog
+from quota_gateway.lab.fakes.server import FakeServer, ServerModel, request_id_of
 from quota_gateway.lab.load import client as load_module
 from quota_gateway.lab.load import deployment as site
 from quota_gateway.lab.load.client import (
@@ -42,7 +43,7 @@
     return b"$%d\r\n%b x\r\n" % (len(words[2]) + 2, words[2])
 
 
-def against(reply: Reply | None, sent: list[Request], ledger: Ledger | None = None) -> Tally:
+def against(reply: Reply | None, sent: list[Request], ledger: AttemptLog | None = None) -> Tally:
     """A load on a scripted gateway, or on one that has gone, in a loop of its own."""
     made: list[Tally] = []
 
@@ -51,7 +52,7 @@
         await peer.start()
         if reply is None:
             await peer.stop()
-        made.append(await Load([("127.0.0.1", peer.port)], sent, ledger or Ledger()).run())
+        made.append(await Load([("127.0.0.1", peer.port)], sent, ledger or AttemptLog()).run())
         await peer.stop()
 
     run_scenario(scenario())
@@ -203,7 +204,7 @@
     idle_s: float, sent_on: bool, served: int, why: dict[str, int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(load_module, "SEND_AGAIN_IDLE_S", idle_s)
-    sent, ledger = requests(2, gap_s=0.05), Ledger()
+    sent, ledger = requests(2, gap_s=0.05), AttemptLog()
     came: list[bytes] = []
 
     async def closes(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
@@ -211,7 +212,7 @@
         if len(came) != 2:
             return value(words)
         if sent_on:
-            ledger.add(Attempt(words[2], "s0", 0.0))
+            ledger.record(Attempt(words[2], "s0", 0.0))
         writer.close()
         return None
 
@@ -223,8 +224,8 @@
 
 def test_the_time_added_leaves_out_what_the_servers_took_and_unsafe_requests_run_once() -> None:
     async def scenario() -> None:
-        ledger = Ledger()
-        server = ServerStandIn("s0", ServerModel(cores=1, service_ms=40.0, variation=0.0), ledger)
+        ledger = AttemptLog()
+        server = FakeServer("s0", ServerModel(cores=1, service_ms=40.0, variation=0.0), ledger)
         await server.start()
         sent = requests(3)
         try:
@@ -236,9 +237,9 @@
         assert tally.added.get_max_value() < 80_000
         again = Tally()
         sent[0].unsafe = True
-        ledger.add(Attempt(sent[0].request_id, "s1", 0.0, begun=0.0))
+        ledger.record(Attempt(sent[0].request_id, "s1", 0.0, started_at=0.0))
         again.add(sent[0], ledger)
         assert again.ran_twice == 1
-        assert made_for(b"r1 s0 ..") == b"r1"
+        assert request_id_of(b"r1 s0 ..") == b"r1"
 
     run_scenario(scenario())
--- a/tests/lab/test_demo_troubles.py
+++ b/tests/lab/test_demo_troubles.py
@@ -8,7 +8,9 @@
 
 import pytest
 
-from quota_gateway.lab.fakes import Attempt, Fault, FaultKind, Ledger, ServerRow
+from quota_gateway.lab.fakes.attempt_log import Attempt, AttemptLog
+from quota_gateway.lab.fakes.discovery import ListedServer
+from quota_gateway.lab.fakes.faults import Fault, FaultKind
 from quota_gateway.lab.load import deployment as site
 from quota_gateway.lab.load.client import LoadPlan, Outcome, schedule
 from quota_gateway.lab.load.fault_injection import Trouble, TroubleError, Troubles, read
@@ -20,7 +22,7 @@
 
 def test_a_trouble_is_read_as_it_is_written() -> None:
     text = "servers:late,share=0.5,delay=20,from=1,to=2.5"
-    assert read(text) == Trouble(text, "servers", Fault(FaultKind.LATE, 0.5, 20.0), 1.0, 2.5)
+    assert read(text) == Trouble(text, "servers", Fault(FaultKind.DELAY, 0.5, 20.0), 1.0, 2.5)
     assert read("s3:drain") == Trouble("s3:drain", "s3", None, 0.0, math.inf)
 
 
@@ -58,19 +60,19 @@
 def test_troubles_begin_and_end_in_their_time() -> None:
     async def scenario() -> None:
         rig = Rig(Shape(servers=2))
-        rig.discovery.put(ServerRow("s1", rig.servers[1].address))
+        rig.discovery.put(ListedServer("s1", rig.servers[1].address))
         texts = ("s0:error,to=0.04", "counter:reset,from=0.02", "s1:drain,to=0.04")
         planned = Troubles(rig, map(read, texts))
         planned.start()
         await wait_until(lambda: rig.servers[1].draining)
-        assert [row.state for row in rig.discovery.whole().servers] == ["Terminating"]
-        assert rig.servers[0].faults.strike() == Fault(FaultKind.ERROR)
+        assert [row.state.value for row in rig.discovery.snapshot().servers] == ["Terminating"]
+        assert rig.servers[0].faults.draw() == Fault(FaultKind.ERROR)
         await wait_until(lambda: not rig.servers[1].draining)
-        (row,) = rig.discovery.whole().servers
-        assert row.state == "Ready"
+        (row,) = rig.discovery.snapshot().servers
+        assert row.state.value == "Ready"
         assert row.started_ms > 1e12
-        await wait_until(lambda: rig.servers[0].faults.strike() is None)
-        assert rig.counter.faults.strike() == Fault(FaultKind.RESET)
+        await wait_until(lambda: rig.servers[0].faults.draw() is None)
+        assert rig.counter.faults.draw() == Fault(FaultKind.RESET)
         planned.stop()
 
     run_scenario(scenario())
@@ -106,13 +108,13 @@
 def test_quotas_are_replayed_from_what_came_to_the_servers() -> None:
     one = site.read(site.settings(1) | {"packages": [{"name": "p", "per_second": 1.0, "most_at_once": 2.0}]})
     requests = schedule(one, LoadPlan(1.0, 7.0, beyond=0.0))
-    ledger = Ledger()
+    ledger = AttemptLog()
     # Seconds, units, and whether it was sent on; the store holds 2, 0, 0.5, 1.5, 2 (at most) and 0.1 then.
     steps = [(0.0, 2, True), (0.0, 1, True), (0.5, 1, False), (1.5, 1, False), (9.0, 2, True), (9.1, 1, True)]
     for request, (at, units, sent_on) in zip(requests, steps, strict=False):
         request.tenant, request.units = requests[0].tenant, float(units)
         if sent_on:
-            ledger.add(Attempt(request.request_id, "s0", at))
+            ledger.record(Attempt(request.request_id, "s0", at))
         else:
             request.outcome, request.ended = Outcome.REFUSED_AFTER, at
     found = Quotas(inside=2, beyond=2, refused_with_room=1, refused=2, refused_half_full=1)
