--- a/quota_gateway/lab/cli/demo.py
+++ b/quota_gateway/lab/cli/demo.py
@@ -1,4 +1,4 @@
-"""`quota-gateway demo`: one real gateway with stand-ins on loopback, and a few seconds of load."""
+"""`quota-gateway demo`: one real gateway with fakes on loopback, and a few seconds of load."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 import typer
 
-from quota_gateway.lab.cli.trial_command import perform
-from quota_gateway.lab.load.client import LoadError, LoadPlan
-from quota_gateway.lab.load.testbed import Shape
+from quota_gateway.lab.cli.trial_command import run_trial_command
+from quota_gateway.lab.load.schedule import LoadSpec, LoadSpecError
+from quota_gateway.lab.load.testbed import LoopbackTestbedSpec
 
 
 def demo(
@@ -20,17 +20,17 @@
 ) -> None:
     """Run one gateway on loopback under load for a few seconds.
 
-    Starts a gateway with stand-ins of servers, counter and discovery, sends requests of customers of whom one
-    in four asks for more than its quota, shows what became of them, and ends all that it started. Exit status
-    0 only if each request got its one answer.
+    Starts a gateway with fakes of servers, counter and discovery, sends requests of customers of whom one in
+    four asks for more than its quota, shows what became of them, and ends all that it started. Exit status 0
+    only if each request got exactly one reply.
     """
     try:
-        plan = LoadPlan(rate, seconds, seed)
-    except LoadError as error:
+        load_spec = LoadSpec(rate, seconds, seed)
+    except LoadSpecError as error:
         raise typer.BadParameter(str(error)) from None
-    perform(Shape(seed=seed), plan, json, detailed=False)
+    run_trial_command(LoopbackTestbedSpec(seed=seed), load_spec, json, detailed=False)
 
 
 def register(app: typer.Typer) -> None:
-    """Adds the command to an app."""
+    """Add the command to an app."""
     app.command("demo")(demo)
--- /dev/null
+++ b/quota_gateway/lab/cli/errors.py
@@ -0,0 +1,10 @@
+"""How the commands report errors."""
+
+from __future__ import annotations
+
+import sys
+
+
+def print_error(message: str) -> None:
+    """Print a message as one line on standard error."""
+    print(f"quota-gateway: {' '.join(message.split())}", file=sys.stderr)
--- a/quota_gateway/lab/cli/main.py
+++ b/quota_gateway/lab/cli/main.py
@@ -6,12 +6,14 @@
 
 import typer
 
-from quota_gateway.lab.cli import demo, lab
-from quota_gateway.lab.cli import load as loadcmd
+from quota_gateway.lab.cli import demo, lab, load
+from quota_gateway.lab.cli.errors import print_error
+
+EXIT_BAD_INPUT = 2
 
 app = typer.Typer(name="quota-gateway", no_args_is_help=True, add_completion=False)
 demo.register(app)
-loadcmd.register(lab.app)
+load.register(lab.app)
 app.add_typer(lab.app, name="lab")
 
 
@@ -21,15 +23,12 @@
 
 
 def main() -> None:
-    """The console script. What is wrong with the arguments is told in one line, with exit status 2."""
+    """Run the console script. Bad arguments are reported in one line, with exit status 2."""
     try:
         status = app(standalone_mode=False)
-    except Exception as error:
-        message = getattr(error, "format_message", None)  # what typer raises for bad arguments
-        if message is None:
-            raise
-        line = " ".join(message().split())
-        if line:  # none where the help was shown instead
-            print(f"quota-gateway: {line}", file=sys.stderr)
-        sys.exit(2)
+    except typer.TyperException as error:
+        message = error.format_message()
+        if message.strip():  # empty where the help was shown instead
+            print_error(message)
+        sys.exit(EXIT_BAD_INPUT)
     sys.exit(status if isinstance(status, int) else 0)
--- /dev/null
+++ b/quota_gateway/lab/cli/signals.py
@@ -0,0 +1,51 @@
+"""Runs a coroutine until it ends or a signal asks for its end."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+from collections.abc import Coroutine
+from typing import Any, TypeVar
+
+import uvloop
+
+Result = TypeVar("Result")
+TERMINATION_SIGNALS = (signal.SIGINT, signal.SIGTERM, signal.SIGHUP)
+EXIT_STATUS_BASE = 128  # a shell's convention: 128 and the signal's number
+
+
+class TerminationSignalError(Exception):
+    """The run was ended by a signal, whose name is the text."""
+
+    def __init__(self, number: int) -> None:
+        super().__init__(signal.Signals(number).name)
+        self.exit_status = EXIT_STATUS_BASE + number
+
+
+def run_until_signal(work: Coroutine[Any, Any, Result]) -> Result:
+    """Run a coroutine on an event loop of its own.
+
+    A termination signal cancels it. Its clean-up then runs to the end before the error is raised.
+
+    Raises:
+        TerminationSignalError: a signal ended it.
+    """
+    received: list[int] = []
+
+    async def main() -> Result:
+        loop, task = asyncio.get_running_loop(), asyncio.current_task()
+        assert task is not None
+
+        def cancel(number: int) -> None:
+            received.append(number)
+            task.cancel()
+
+        for number in TERMINATION_SIGNALS:
+            loop.add_signal_handler(number, cancel, number)
+        return await work
+
+    try:
+        with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+            return runner.run(main())
+    except asyncio.CancelledError:
+        raise TerminationSignalError(received[0] if received else signal.SIGINT) from None
--- a/quota_gateway/lab/load/deployment.py
+++ b/quota_gateway/lab/load/deployment.py
@@ -1,7 +1,7 @@
-"""The site that the demo and the load run on: its settings, and the part of any settings that a load reads.
+"""The deployment that the demo and the load test run on, and the part of its settings that clients need.
 
-The keys are those of WIRE, section 8. The figures are this project's own: quotas small enough for refusals to
-show within seconds, and servers that bear what the quotas let through.
+The keys are those of WIRE, section 8. The figures are this project's own: quotas small enough for rejections
+to show within seconds, and servers that can carry what the quotas admit.
 """
 
 from __future__ import annotations
@@ -10,44 +10,53 @@
 
 import msgspec
 
+from quota_gateway.settings import IDEMPOTENCY_NAMES, Idempotency
 
-class Plan(msgspec.Struct, frozen=True):
-    """One entry of `packages`: its quota, which holds for each customer over all gateways together."""
+GATEWAY_LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
+
+
+class QuotaPlan(msgspec.Struct, frozen=True):
+    """One plan (`packages`): its quota holds for each customer over all gateways together."""
 
     name: str
-    per_second: float = 0.0  # units a second; 0: no quota
-    most_at_once: float = 0.0  # units
+    rate: float = msgspec.field(name="per_second", default=0.0)  # units a second; 0: no quota
+    burst: float = msgspec.field(name="most_at_once", default=0.0)  # units
 
 
-class RequestClass(msgspec.Struct, frozen=True):
-    """One entry of `profiles`."""
+class ClientRequestClass(msgspec.Struct, frozen=True):
+    """One class of requests (`profiles`), as clients know it."""
 
     name: str
-    repeat: str  # read_like, idempotency_key or non_idempotent
-    hard_limit_ms: float  # the client's wait
+    repeat: str
+    deadline_ms: float = msgspec.field(name="hard_limit_ms")  # the client waits so long from sending
+
+    @property
+    def idempotency(self) -> Idempotency:
+        """Whether a request may be carried out more than once."""
+        return IDEMPOTENCY_NAMES.get(self.repeat, Idempotency.NON_IDEMPOTENT)
 
 
-class Site(msgspec.Struct, frozen=True):
-    """What a load needs of the settings; all other keys are passed over."""
+class Deployment(msgspec.Struct, frozen=True):
+    """What clients need of the settings; all other keys are ignored."""
 
-    packages: list[Plan]
-    profiles: list[RequestClass]
-    balancers: int = 1
+    plans: list[QuotaPlan] = msgspec.field(name="packages")
+    request_classes: list[ClientRequestClass] = msgspec.field(name="profiles")
+    gateway_count: int = msgspec.field(name="balancers", default=1)
 
 
-def read(settings: dict[str, Any]) -> Site:
-    """The load's part of the settings. Raises ValueError, with the key, where they can't be used."""
-    site: Site = msgspec.convert(settings, Site)  # its ValidationError is a ValueError
-    if not site.packages or not site.profiles or site.balancers < 1:
+def decode_deployment(settings: dict[str, Any]) -> Deployment:
+    """Decode the clients' part of the settings. Raises ValueError, with the key, if it is not usable."""
+    deployment = msgspec.convert(settings, Deployment)  # its ValidationError is a ValueError
+    if not deployment.plans or not deployment.request_classes or deployment.gateway_count < 1:
         raise ValueError("the settings name no plan, no class or no gateway")
-    return site
+    return deployment
 
 
-def settings(gateways: int, number: int = 0) -> dict[str, Any]:
-    """The settings of gateway `number` of `gateways`."""
+def gateway_settings(gateway_count: int, gateway_index: int = 0) -> dict[str, Any]:
+    """Return the settings of one of several gateways, as its configuration file holds them."""
     return {
         "areas": ["a"],
-        "balancers": gateways,
+        "balancers": gateway_count,
         "client_habits": {"marks_retry": False},
         "domain": {"counter": True, "counter_timeout_ms": 80.0, "max_units": 8},
         "limits": {
@@ -59,7 +68,7 @@
             "connect_timeout_ms": 250.0,
             "max_streams": 100,
         },
-        "me": number,
+        "me": gateway_index,
         "membership_mode": "automatic",
         "my_zone": "a",
         "packages": [
@@ -68,9 +77,9 @@
             _plan("agency", 8.0, 12.0, 1.4),
         ],
         "profiles": [
-            _class("lookup", "read_like"),
-            _class("report", "idempotency_key", group="all", memory_span_ms=5000.0),
-            _class("order", "non_idempotent"),
+            _request_class("lookup", "read_like"),
+            _request_class("report", "idempotency_key", group="all", memory_span_ms=5000.0),
+            _request_class("order", "non_idempotent"),
         ],
         "reporting": {"fields": [], "how": "silent"},
         "safety": {
@@ -85,22 +94,22 @@
     }
 
 
-def _plan(name: str, per_second: float, most_at_once: float, price: float) -> dict[str, Any]:
+def _plan(name: str, rate: float, burst: float, price: float) -> dict[str, Any]:
     return {
         "name": name,
-        "per_second": per_second,
-        "most_at_once": most_at_once,
+        "per_second": rate,
+        "most_at_once": burst,
         "price": price,
         "beyond_costs": 0.6,
     }
 
 
-def _class(name: str, repeat: str, **more: Any) -> dict[str, Any]:
+def _request_class(name: str, repeat: str, **deduplication: Any) -> dict[str, Any]:
     return {
         "name": name,
         "repeat": repeat,
         "aim_ms": 500.0,
         "hard_limit_ms": 2000.0,
         "importance": 1.0,
-        **more,
+        **deduplication,
     }
--- a/quota_gateway/lab/load/quota_audit.py
+++ b/quota_gateway/lab/load/quota_audit.py
@@ -1,9 +1,9 @@
-"""What the quotas of a run truly were, replayed from what came to the servers.
+"""An audit of how the quotas were kept, replayed from what reached the servers.
 
-The rules of WIRE, section 8 (`packages`): a customer's store (a token bucket) starts full, holds
-`most_at_once` units and fills by `per_second`. A request takes its units when its first attempt has come to a
-server, and is inside the quota if the store held them then; one sent on beyond that takes nothing. A gateway
-can't know the store of the moment, so some refusals inside the quota are its due; how many there are tells
+The rules of WIRE, section 8 (`packages`): a customer's token bucket starts full, holds `most_at_once` units
+and fills by `per_second`. A request takes its units when its first attempt has reached a server, and is
+within quota if the bucket held them then; one that is forwarded beyond the quota takes nothing. No gateway
+can know the bucket's level of the moment, so some rejections within quota are unavoidable; their number tells
 gateways apart.
 """
 
@@ -11,66 +11,98 @@
 
 from collections.abc import Iterable
 from dataclasses import dataclass
+from operator import attrgetter
+
+import msgspec
 
 from quota_gateway.lab.fakes.attempt_log import AttemptLog
-from quota_gateway.lab.load.client import Outcome, Request
-from quota_gateway.lab.load.deployment import Plan, Site
+from quota_gateway.lab.load.deployment import Deployment, QuotaPlan
+from quota_gateway.lab.load.request_record import RequestOutcome, RequestRecord
+
+REJECTED_OUTCOMES = (RequestOutcome.REJECTED_WITH_RETRY_AFTER, RequestOutcome.REJECTED)
+HALF_FULL = 0.5  # level over burst: BENCH, `refused_with_room_share`
 
 
 @dataclass(slots=True)
-class Store:
-    """A customer's store, in units."""
+class TokenBucket:
+    """The token bucket of one customer."""
 
-    plan: Plan
-    holds: float
-    at: float  # seconds
+    plan: QuotaPlan
+    level: float  # units
+    updated_at: float  # seconds of `time.monotonic`
 
-    def fill(self, now: float) -> None:
-        """Brings it up to a moment, no earlier than the last one."""
-        self.holds = min(self.plan.most_at_once, self.holds + self.plan.per_second * (now - self.at))
-        self.at = now
+    def refill(self, now: float) -> None:
+        """Bring the level up to a moment, no earlier than the last one."""
+        gained = self.plan.rate * (now - self.updated_at)
+        self.level = min(self.plan.burst, self.level + gained)
+        self.updated_at = now
 
 
-@dataclass(slots=True)
-class Quotas:
-    """How the quotas were kept. Requests of plans without a quota don't count."""
-
-    inside: int = 0  # sent on while the store held their units
-    beyond: int = 0  # sent on while it did not
-    refused_with_room: int = 0  # refused while it did
-    refused: int = 0
-    refused_half_full: int = 0  # refused while it did and was half full: BENCH, refused_with_room_share
-
-
-def audit(site: Site, requests: Iterable[Request], ledger: AttemptLog) -> Quotas:
-    """Replays a run that is over."""
-    plans = {plan.name: plan for plan in site.packages if plan.per_second}
-    found = Quotas()
-    stores: dict[bytes, Store] = {}
-    for at, request, sent_on in sorted(_events(requests, ledger), key=lambda event: event[0]):
-        plan = plans.get(request.tenant.plan)
+class QuotaAudit(msgspec.Struct):
+    """How the quotas were kept. Requests of plans without a quota don't count.
+
+    The names of the result file are those of earlier versions.
+    """
+
+    forwarded_within_quota: int = msgspec.field(name="inside", default=0)
+    forwarded_beyond_quota: int = msgspec.field(name="beyond", default=0)
+    rejected_within_quota: int = msgspec.field(name="refused_with_room", default=0)
+    rejected: int = msgspec.field(name="refused", default=0)  # all of them
+    rejected_at_half_full: int = msgspec.field(
+        name="refused_half_full", default=0
+    )  # ... or more, within quota
+
+    @property
+    def forwarded(self) -> int:
+        """Requests that reached a server."""
+        return self.forwarded_within_quota + self.forwarded_beyond_quota
+
+
+@dataclass(frozen=True, slots=True)
+class _Decision:
+    """A gateway's decision on a request: when it was first forwarded, or rejected without that."""
+
+    at: float
+    record: RequestRecord
+    forwarded: bool
+
+
+def audit_quotas(
+    deployment: Deployment, records: Iterable[RequestRecord], attempt_log: AttemptLog
+) -> QuotaAudit:
+    """Replay a run that is over."""
+    plans = {plan.name: plan for plan in deployment.plans if plan.rate}
+    audit = QuotaAudit()
+    buckets: dict[bytes, TokenBucket] = {}
+    for decision in sorted(_decisions(records, attempt_log), key=attrgetter("at")):
+        request = decision.record.request
+        plan = plans.get(request.customer.plan)
         if plan is None:
             continue
-        store = stores.setdefault(request.tenant.customer, Store(plan, plan.most_at_once, at))
-        store.fill(at)
-        room = store.holds >= request.units
-        if not sent_on:
-            found.refused += 1
-            found.refused_with_room += room
-            found.refused_half_full += room and store.holds >= 0.5 * plan.most_at_once
-        elif room:
-            found.inside += 1
-            store.holds -= request.units
-        else:
-            found.beyond += 1
-    return found
-
-
-def _events(requests: Iterable[Request], ledger: AttemptLog) -> Iterable[tuple[float, Request, bool]]:
-    """When each request was first sent on, or refused without that."""
-    for request in requests:
-        attempts = ledger.attempts_of(request.request_id)
+        full = TokenBucket(plan, plan.burst, decision.at)
+        bucket = buckets.setdefault(request.customer.customer_id, full)
+        bucket.refill(decision.at)
+        _count(audit, bucket, request.units, decision.forwarded)
+    return audit
+
+
+def _count(audit: QuotaAudit, bucket: TokenBucket, units: float, forwarded: bool) -> None:
+    within_quota = bucket.level >= units
+    if not forwarded:
+        audit.rejected += 1
+        audit.rejected_within_quota += within_quota
+        audit.rejected_at_half_full += within_quota and bucket.level >= HALF_FULL * bucket.plan.burst
+    elif within_quota:
+        audit.forwarded_within_quota += 1
+        bucket.level -= units
+    else:
+        audit.forwarded_beyond_quota += 1
+
+
+def _decisions(records: Iterable[RequestRecord], attempt_log: AttemptLog) -> Iterable[_Decision]:
+    for record in records:
+        attempts = attempt_log.attempts_of(record.request.request_id)
         if attempts:
-            yield attempts[0].arrived_at, request, True
-        elif request.outcome in (Outcome.REFUSED_AFTER, Outcome.REFUSED):
-            yield request.ended, request, False
+            yield _Decision(attempts[0].arrived_at, record, True)
+        elif record.outcome in REJECTED_OUTCOMES:
+            yield _Decision(record.completed_at, record, False)
--- a/quota_gateway/lab/load/report.py
+++ b/quota_gateway/lab/load/report.py
@@ -1,123 +1,130 @@
-"""A trial's figures as tables for a terminal."""
+"""A trial's result as tables for a terminal."""
 
 from __future__ import annotations
 
 from rich.console import Console
 from rich.table import Table
 
-from quota_gateway.lab.load.trial import Result
+from quota_gateway.lab.load.trial_result import GatewayResult, TrialResult
 
-NAMES = {
+OUTCOME_LABELS = {
     "served": "served",
-    "refused_with_retry_after": "refused with retry-after",
-    "refused_without": "refused without",
+    "refused_with_retry_after": "rejected with Retry-After",
+    "refused_without": "rejected without",
     "failed": "failed",
     "lost": "lost",
 }
-PERCENTILES = ("p50", "p90", "p99", "p99.9")
+PERCENTILE_NAMES = ("p50", "p90", "p99", "p99.9")
 
 
-def _ms(value: float | None) -> str:
-    return "-" if value is None else f"{value:.2f}"
+def print_report(result: TrialResult, detailed: bool = False) -> None:
+    """Print the tables on standard output; `detailed` adds latencies, attempts and faults."""
+    console = Console()
+    console.print(outcome_table(result))
+    console.print(quota_line(result))
+    if detailed:
+        console.print(added_latency_table(result))
+        console.print(attempt_line(result))
+        for text in result.faults:
+            console.print(f"Fault: {text}", markup=False)
+    console.print(gateway_table(result))
+    for line in violation_lines(result):
+        console.print(line, markup=False)
 
 
-def outcomes(result: Result) -> Table:
-    """Requests by what became of them, with their latency."""
-    table = Table(title=_title(result), title_justify="left")
-    table.add_column("outcome")
-    for name in ("requests", "share", "p50 ms", "p99 ms"):
-        table.add_column(name, justify="right")
-    for key, count in result.outcomes.items():
+def outcome_table(result: TrialResult) -> Table:
+    """Return the requests by outcome, with their latency."""
+    table = _table(_title(result), "outcome", ["requests", "share", "p50 ms", "p99 ms"])
+    for outcome, count in result.outcomes.items():
         share = f"{count / result.requests:.1%}" if result.requests else "-"
-        latency = result.latency_ms[key]
-        table.add_row(NAMES[key], str(count), share, _ms(latency["p50"]), _ms(latency["p99"]))
+        latency = result.latency_ms[outcome]
+        label = OUTCOME_LABELS[outcome]
+        table.add_row(label, str(count), share, _milliseconds(latency["p50"]), _milliseconds(latency["p99"]))
     return table
 
 
-def _title(result: Result) -> str:
-    many = "gateway" if len(result.gateways) == 1 else "gateways"
-    return (
-        f"{len(result.gateways)} {many}, {result.servers} servers, {result.rate:g} requests/s "
-        f"for {result.seconds:g} s, seed {result.seed}"
-    )
-
-
-def added(result: Result) -> Table:
-    """What the gateways add to the time at servers, beside what this tool adds by itself."""
-    table = Table(title="Time of served requests beyond their time at servers, ms", title_justify="left")
-    table.add_column("")
-    for name in PERCENTILES:
-        table.add_column(name, justify="right")
-    rows = {"with gateway": result.added_ms, "without (the tool alone)": result.floor_ms}
-    rows["sent late by"] = result.pacing_ms
-    for name, row in rows.items():
-        if row is not None:
-            table.add_row(name, *(_ms(row[each]) for each in PERCENTILES))
+def added_latency_table(result: TrialResult) -> Table:
+    """Return what the gateways add to the time at servers, beside what the client adds by itself."""
+    title = "Latency of served requests beyond their time at servers, ms"
+    table = _table(title, "", list(PERCENTILE_NAMES))
+    rows = {
+        "with gateway": result.added_latency_ms,
+        "without (client alone)": result.client_overhead_ms,
+        "sent late by": result.send_delay_ms,
+    }
+    for name, percentiles in rows.items():
+        if percentiles is not None:
+            table.add_row(name, *(_milliseconds(percentiles[each]) for each in PERCENTILE_NAMES))
     return table
 
 
-def gateways(result: Result) -> Table:
-    """What each gateway used."""
-    share = f"{result.tool_processor_s / result.seconds:.0%}"
-    title = f"Gateways (client and stand-ins beside them: {share} of a core)"
-    table = Table(title=title, title_justify="left")
-    table.add_column("name")
-    for name in ("requests", "processor us a request", "memory MiB", "exit status"):
-        table.add_column(name, justify="right")
-    for each in result.gateways:
-        used = "-" if each.processor_us_per_request is None else f"{each.processor_us_per_request:.0f}"
-        memory = "-" if each.memory_mb is None else f"{each.memory_mb:.0f}"
-        status = "killed" if each.killed else str(each.exit_status)
-        table.add_row(each.name, str(each.requests), used, memory, status)
+def gateway_table(result: TrialResult) -> Table:
+    """Return the resources that each gateway used."""
+    tool_share = f"{result.tool_cpu_s / result.duration_s:.0%}"
+    title = f"Gateways (client and fakes beside them: {tool_share} of a core)"
+    table = _table(title, "name", ["requests", "CPU us/request", "memory MiB", "exit status"])
+    for gateway in result.gateways:
+        cpu = "-" if gateway.cpu_us_per_request is None else f"{gateway.cpu_us_per_request:.0f}"
+        memory = "-" if gateway.peak_memory_mib is None else f"{gateway.peak_memory_mib:.0f}"
+        status = "killed" if gateway.killed else str(gateway.exit_status)
+        table.add_row(gateway.name, str(gateway.requests), cpu, memory, status)
     return table
 
 
-def attempts(result: Result) -> str:
-    """One line on what servers were sent."""
-    parts = ", ".join(f"{count} {name}" for name, count in sorted(result.attempts.items()) if count)
-    return f"Attempts at servers: {parts or 'none'}"
+def attempt_line(result: TrialResult) -> str:
+    """Return one line on the attempts at servers."""
+    counts = ", ".join(f"{count} {name}" for name, count in sorted(result.attempts.items()) if count)
+    return f"Attempts at servers: {counts or 'none'}"
 
 
-def quotas(result: Result) -> str:
-    """One line on how the quotas were kept."""
-    found = result.quotas
-    sent_on = found["inside"] + found["beyond"]
+def quota_line(result: TrialResult) -> str:
+    """Return one line on how the quotas were kept."""
+    audit = result.quota_audit
     return (
-        f"Sent on: {sent_on}, of which {found['beyond']} beyond their quota. "
-        f"Refused: {found['refused']}, of which {found['refused_with_room']} inside it."
+        f"Forwarded: {audit.forwarded}, of which {audit.forwarded_beyond_quota} beyond their quota. "
+        f"Rejected: {audit.rejected}, of which {audit.rejected_within_quota} within it."
     )
 
 
-def troubles(result: Result) -> list[str]:
-    """One line for each thing that should not be; empty after a sound trial."""
-    lines = [f"lost: {count} ({why})" for why, count in sorted(result.losses.items())]
-    for count, what in (
-        (result.doubled, "answers beyond the one that a request is owed"),
-        (result.ran_twice, "requests of an unsafe class were carried out more than once"),
-        (result.late, "answers came after their deadline"),
-    ):
-        if count:
-            lines.append(f"{count} {what}")
-    for each in result.gateways:
-        if each.trouble:
-            lines.append(f"{each.name} went by itself: {each.trouble}")
-        elif each.killed:
-            lines.append(f"{each.name} did not end in time after SIGTERM and was killed")
+def violation_lines(result: TrialResult) -> list[str]:
+    """Return one line for each thing that should not happen; none after a trial that passed in time."""
+    lines = [f"lost: {count} ({reason})" for reason, count in sorted(result.losses.items())]
+    counts = {
+        "replies beyond the one that a request is owed": result.extra_replies,
+        "non-idempotent requests were carried out more than once": result.duplicate_executions,
+        "replies came after their deadline": result.late,
+    }
+    lines += [f"{count} {what}" for what, count in counts.items() if count]
+    for gateway in result.gateways:
+        lines += _exit_violations(gateway)
     if not result.outcomes["served"]:
         lines.append("nothing was served")
     return lines
 
 
-def show(result: Result, detailed: bool = False) -> None:
-    """Prints the tables on standard output."""
-    console = Console()
-    console.print(outcomes(result))
-    console.print(quotas(result))
-    if detailed:
-        console.print(added(result))
-        console.print(attempts(result))
-        for text in result.troubles:
-            console.print(f"Fault: {text}", markup=False)
-    console.print(gateways(result))
-    for line in troubles(result):
-        console.print(line, markup=False)
+def _exit_violations(gateway: GatewayResult) -> list[str]:
+    if gateway.unexpected_exit_log:
+        return [f"{gateway.name} exited unexpectedly: {gateway.unexpected_exit_log}"]
+    if gateway.killed:
+        return [f"{gateway.name} did not exit in time after SIGTERM and was killed"]
+    return []
+
+
+def _title(result: TrialResult) -> str:
+    gateways = "gateway" if len(result.gateways) == 1 else "gateways"
+    return (
+        f"{len(result.gateways)} {gateways}, {result.servers} servers, {result.rate:g} requests/s "
+        f"for {result.duration_s:g} s, seed {result.seed}"
+    )
+
+
+def _table(title: str, first_column: str, figure_columns: list[str]) -> Table:
+    table = Table(title=title, title_justify="left")
+    table.add_column(first_column)
+    for column in figure_columns:
+        table.add_column(column, justify="right")
+    return table
+
+
+def _milliseconds(value: float | None) -> str:
+    return "-" if value is None else f"{value:.2f}"
--- /dev/null
+++ b/quota_gateway/lab/load/request_record.py
@@ -0,0 +1,52 @@
+"""What became of each request of a load, as its client sees it."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+from quota_gateway.lab.load.schedule import ScheduledRequest
+
+
+class RequestOutcome(Enum):
+    """How a request ended, after PROTOCOL's first table. The values are keys of the result file."""
+
+    PENDING = "open"
+    SERVED = "served"
+    REJECTED_WITH_RETRY_AFTER = "refused_with_retry_after"
+    REJECTED = "refused_without"  # without a Retry-After
+    FAILED = "failed"
+    LOST = "lost"  # no reply, or one that was made for another request
+
+
+class LossReason(Enum):
+    """Why a request is lost. The values are keys of the result file."""
+
+    NO_REPLY = "no answer"
+    NO_CONNECTION = "no connection"
+    CONNECTION_CLOSED = "connection ended"
+    CONNECTION_CLOSED_AFTER_FORWARD = "connection ended after it was sent on"
+    WRONG_VALUE = "another request's value"
+
+
+@dataclass(slots=True, eq=False)
+class RequestRecord:
+    """One request of a run. Times are seconds of `time.monotonic`."""
+
+    request: ScheduledRequest
+    scheduled_at: float  # when it was to be sent
+    sent_at: float | None = None  # None: it was never written
+    resent_at: float | None = None  # the close of an idle connection had crossed it
+    completed_at: float = 0.0
+    outcome: RequestOutcome = RequestOutcome.PENDING
+    loss_reason: LossReason | None = None
+
+    @property
+    def latency_s(self) -> float:
+        """Time from the intended sending to the last byte of the reply."""
+        return self.completed_at - self.scheduled_at
+
+    def lose(self, reason: LossReason) -> None:
+        """Record that the request is lost."""
+        self.outcome = RequestOutcome.LOST
+        self.loss_reason = reason
--- /dev/null
+++ b/quota_gateway/lab/load/schedule.py
@@ -0,0 +1,165 @@
+"""The arrival schedule of an open-loop load: which customer sends which request, when and to which gateway.
+
+The whole schedule is drawn before a run from a seeded Poisson process. Equal arguments give equal schedules,
+so two versions of the gateway can be compared under the same load; the order and number of the draws, and the
+texts that seed the generators, are part of that.
+"""
+
+from __future__ import annotations
+
+import math
+import random
+from dataclasses import dataclass
+from typing import Any
+
+import hiredis
+import numpy
+
+from quota_gateway.lab.load.deployment import ClientRequestClass, Deployment
+from quota_gateway.settings import Idempotency
+
+MAX_REQUESTS = 1_000_000
+MAX_DURATION_S = 3600.0
+MAX_RATE = 20_000.0  # requests a second
+IDEMPOTENT_SHARE = 0.8  # of the requests, where there are idempotent and other classes
+UNIT_CHOICES = (1, 1, 1, 2)  # drawn evenly
+MEAN_UNITS = sum(UNIT_CHOICES) / len(UNIT_CHOICES)
+DEMAND_WITHIN_QUOTA = 0.5  # demand over quota of most customers
+DEMAND_BEYOND_QUOTA = 3.0  # of those that ask for more than their quota
+MAX_GATEWAYS_PER_CUSTOMER = 3
+CUSTOMER_ID_LIMIT = 1 << 33  # PROTOCOL, "Clients to gateways"
+MIN_CUSTOMER_RATE = 1e-6  # keeps the sum of the rates moving towards the rate asked for
+
+
+class LoadSpecError(ValueError):
+    """A load that can't be run; the text is one line."""
+
+
+@dataclass(frozen=True, slots=True)
+class LoadSpec:
+    """How much is sent.
+
+    Raises:
+        LoadSpecError: a figure is out of range.
+    """
+
+    rate: float  # requests a second over all gateways
+    duration_s: float
+    seed: int = 1
+    beyond_quota_share: float = 0.25  # of the customers, those that ask for more than their quota
+
+    def __post_init__(self) -> None:
+        if not (math.isfinite(self.duration_s) and 0.0 < self.duration_s <= MAX_DURATION_S):
+            raise LoadSpecError(
+                f"seconds must be above 0 and at most {MAX_DURATION_S:.0f}, not {self.duration_s:g}"
+            )
+        if not (math.isfinite(self.rate) and 0.0 < self.rate <= MAX_RATE):
+            raise LoadSpecError(f"the rate must be above 0 and at most {MAX_RATE:.0f}, not {self.rate:g}")
+        if self.rate * self.duration_s > MAX_REQUESTS:
+            raise LoadSpecError(f"{self.rate * self.duration_s:.0f} requests are more than {MAX_REQUESTS}")
+        if self.seed < 0:
+            raise LoadSpecError(f"the seed must be at least 0, not {self.seed}")
+        if not 0.0 <= self.beyond_quota_share <= 1.0:
+            raise LoadSpecError(
+                f"the share of customers beyond their quota must be 0 to 1, not {self.beyond_quota_share:g}"
+            )
+
+
+@dataclass(frozen=True, slots=True)
+class Customer:
+    """One customer of the deployment."""
+
+    customer_id: bytes  # 16 hex digits
+    plan: str
+    rate: float  # requests a second that it asks for
+    gateways_per_customer: int  # its requests go to so many gateways in a row ...
+    first_gateway: int  # ... from this one, counted round
+
+
+@dataclass(frozen=True, slots=True)
+class ScheduledRequest:
+    """One request of the schedule."""
+
+    request_id: bytes
+    customer: Customer
+    units: float
+    gateway_index: int
+    command: bytes  # encoded in RESP2
+    deadline_s: float  # the client waits so long from sending
+    idempotency: Idempotency
+    offset_s: float  # when it is to be sent, from the start of the run
+
+
+def draw_customers(deployment: Deployment, spec: LoadSpec) -> list[Customer]:
+    """Draw customers whose demand adds up to the load's rate; that of the last one is cut to fit."""
+    rng = random.Random(f"tenants {spec.seed}")
+    gateways_per_customer = min(deployment.gateway_count, MAX_GATEWAYS_PER_CUSTOMER)
+    customers: list[Customer] = []
+    remaining_rate = spec.rate
+    while remaining_rate > 0.0:
+        plan = rng.choice(deployment.plans)
+        beyond_quota = _is_beyond_quota(len(customers), spec.beyond_quota_share)
+        demand = DEMAND_BEYOND_QUOTA if beyond_quota else DEMAND_WITHIN_QUOTA
+        rate = min(remaining_rate, demand * (plan.rate or 1.0) / MEAN_UNITS)
+        customer_id = b"%016x" % rng.randrange(CUSTOMER_ID_LIMIT)
+        first_gateway = rng.randrange(deployment.gateway_count)
+        customers.append(Customer(customer_id, plan.name, rate, gateways_per_customer, first_gateway))
+        remaining_rate -= max(rate, MIN_CUSTOMER_RATE)
+    return customers
+
+
+def _is_beyond_quota(index: int, share: float) -> bool:
+    """Whether the customer of this index is one of the share, which is spread evenly over the indexes."""
+    return int((index + 1) * share + 0.5) > int(index * share + 0.5)
+
+
+def draw_schedule(deployment: Deployment, spec: LoadSpec) -> list[ScheduledRequest]:
+    """Draw the requests of a run, in the order of their sending."""
+    rng = random.Random(f"schedule {spec.seed}")
+    customers = draw_customers(deployment, spec)
+    count = round(spec.rate * spec.duration_s)
+    generator = numpy.random.default_rng(spec.seed)
+    # Given their number, the events of a Poisson process are uniform and independent.
+    offsets = numpy.sort(generator.random(count)) * spec.duration_s
+    rates = numpy.array([customer.rate for customer in customers])
+    senders = generator.choice(len(customers), size=count, p=rates / rates.sum())
+    return [
+        _draw_request(deployment, rng, float(offset), customers[sender])
+        for offset, sender in zip(offsets, senders, strict=True)
+    ]
+
+
+def _draw_request(
+    deployment: Deployment, rng: random.Random, offset_s: float, customer: Customer
+) -> ScheduledRequest:
+    request_class = _draw_class(deployment, rng)
+    units = rng.choice(UNIT_CHOICES)
+    fields = (
+        f"c={request_class.name},t={customer.plan},d={request_class.deadline_ms:.0f},units={units}"
+        f",spread={customer.gateways_per_customer},first={customer.first_gateway}"
+    )
+    if request_class.idempotency is Idempotency.KEYED:
+        fields += f",k={rng.getrandbits(64):016x}"
+    request_id = b"%016x" % rng.getrandbits(64)
+    verb = b"CALL.GET" if request_class.idempotency is Idempotency.IDEMPOTENT else b"CALL.POST"
+    # hiredis's stub asks for str, its code takes bytes as well
+    command: Any = (verb, customer.customer_id, request_id, fields.encode())
+    offset_from_first = rng.randrange(customer.gateways_per_customer)
+    return ScheduledRequest(
+        request_id=request_id,
+        customer=customer,
+        units=float(units),
+        gateway_index=(customer.first_gateway + offset_from_first) % deployment.gateway_count,
+        command=hiredis.pack_command(command),
+        deadline_s=request_class.deadline_ms / 1000.0,
+        idempotency=request_class.idempotency,
+        offset_s=offset_s,
+    )
+
+
+def _draw_class(deployment: Deployment, rng: random.Random) -> ClientRequestClass:
+    """Draw a class; idempotent ones are preferred where there are others too."""
+    idempotent = [each for each in deployment.request_classes if each.idempotency is Idempotency.IDEMPOTENT]
+    other = [each for each in deployment.request_classes if each.idempotency is not Idempotency.IDEMPOTENT]
+    prefer_idempotent = idempotent and (not other or rng.random() < IDEMPOTENT_SHARE)
+    return rng.choice(idempotent if prefer_idempotent else other)
--- a/quota_gateway/lab/load/testbed.py
+++ b/quota_gateway/lab/load/testbed.py
@@ -1,4 +1,4 @@
-"""Real gateways and the stand-ins around them on loopback, for as long as a run lasts."""
+"""Real gateways and the fakes around them on loopback, for as long as a trial lasts."""
 
 from __future__ import annotations
 
@@ -16,49 +16,60 @@
 from quota_gateway.lab.fakes.discovery import FakeDiscovery, ListedServer
 from quota_gateway.lab.fakes.loopback_server import LoopbackServer
 from quota_gateway.lab.fakes.server import FakeServer, ServerModel
-from quota_gateway.lab.load import deployment as site
+from quota_gateway.lab.load.deployment import GATEWAY_LIMITS, gateway_settings
 from quota_gateway.lab.load.gateway_process import GatewayProcess
 
-MOST_GATEWAYS = 32
-MOST_SERVERS = 500
+MAX_GATEWAYS = 32
+MAX_SERVERS = 500
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
-    """What is started."""
+class LoopbackTestbedSpec:
+    """What a testbed consists of.
 
-    gateways: int = 1
-    servers: int = 4
-    model: ServerModel = field(default_factory=ServerModel)
-    counter: CounterModel = field(default_factory=CounterModel)
+    Raises:
+        ValueError: a number is out of range.
+    """
+
+    gateway_count: int = 1
+    server_count: int = 4
+    server_model: ServerModel = field(default_factory=ServerModel)
+    counter_model: CounterModel = field(default_factory=CounterModel)
     seed: int = 1
 
     def __post_init__(self) -> None:
-        if not 1 <= self.gateways <= MOST_GATEWAYS:
-            raise ValueError(f"gateways must be 1 to {MOST_GATEWAYS}, not {self.gateways}")
-        if not 1 <= self.servers <= MOST_SERVERS:
-            raise ValueError(f"servers must be 1 to {MOST_SERVERS}, not {self.servers}")
+        if not 1 <= self.gateway_count <= MAX_GATEWAYS:
+            raise ValueError(f"gateways must be 1 to {MAX_GATEWAYS}, not {self.gateway_count}")
+        if not 1 <= self.server_count <= MAX_SERVERS:
+            raise ValueError(f"servers must be 1 to {MAX_SERVERS}, not {self.server_count}")
 
 
-class Rig:
-    """Starts everything on entry and ends everything that it started on the way out, however that is taken.
+class LoopbackTestbed:
+    """An async context manager that starts everything and always ends everything that it started.
 
-    Raises GatewayError if a gateway doesn't come up, OSError if there is no port or no folder.
+    Raises:
+        GatewayError: on entry, a gateway did not start.
+        OSError: on entry, there is no port or no temporary directory.
     """
 
-    def __init__(self, shape: Shape) -> None:
-        self.shape = shape
-        self.ledger = AttemptLog()
+    def __init__(self, spec: LoopbackTestbedSpec) -> None:
+        self.spec = spec
+        self.attempt_log = AttemptLog()
         self.servers = [
-            FakeServer(f"s{number}", shape.model, self.ledger, shape.seed * MOST_SERVERS + number)
-            for number in range(shape.servers)
+            FakeServer(f"s{index}", spec.server_model, self.attempt_log, seed=spec.seed * MAX_SERVERS + index)
+            for index in range(spec.server_count)
         ]
-        self.counter = FakeCounter(shape.counter, shape.seed)
-        self.discovery = FakeDiscovery(shape.seed)
+        self.counter = FakeCounter(spec.counter_model, spec.seed)
+        self.discovery = FakeDiscovery(spec.seed)
         self.gateways: list[GatewayProcess] = []
-        self._folder: tempfile.TemporaryDirectory[str] | None = None
+        self._directory: tempfile.TemporaryDirectory[str] | None = None
+
+    @property
+    def fakes(self) -> list[LoopbackServer]:
+        """All fakes."""
+        return [*self.servers, self.counter, self.discovery]
 
-    async def __aenter__(self) -> Rig:
+    async def __aenter__(self) -> LoopbackTestbed:
         try:
             await self._start()
         except BaseException:
@@ -72,49 +83,46 @@
         await self.stop()
 
     async def _start(self) -> None:
-        for endpoint in self._endpoints():
-            await endpoint.start()
+        for fake in self.fakes:
+            await fake.start()
         for server in self.servers:
             self.discovery.put(ListedServer(server.name, server.address))
-        self._folder = tempfile.TemporaryDirectory(prefix="quota-gateway-")
-        for number in range(self.shape.gateways):
-            gateway = GatewayProcess(f"gateway-{number}", Path(self._folder.name))
+        self._directory = tempfile.TemporaryDirectory(prefix="quota-gateway-")
+        for index in range(self.spec.gateway_count):
+            gateway = GatewayProcess(f"gateway-{index}", Path(self._directory.name))
             self.gateways.append(gateway)
-            gateway.start(self.config(number))
-        await self._ready()
+            gateway.start(self.gateway_config(index))
+        await self._wait_until_ready()
 
-    async def _ready(self) -> None:
-        waits = [asyncio.ensure_future(gateway.ready()) for gateway in self.gateways]
+    async def _wait_until_ready(self) -> None:
+        waits = [asyncio.ensure_future(gateway.wait_until_ready()) for gateway in self.gateways]
         try:
             await asyncio.gather(*waits)
         finally:
             for wait in waits:
                 wait.cancel()
 
-    def _endpoints(self) -> list[LoopbackServer]:
-        return [*self.servers, self.counter, self.discovery]
-
-    def config(self, number: int) -> dict[str, Any]:
-        """A gateway's configuration (DEPLOY), but for its name and address."""
+    def gateway_config(self, index: int) -> dict[str, Any]:
+        """Return a gateway's configuration (DEPLOY) but for its name and address."""
         return {
             "discovery": self.discovery.address,
             "counter": self.counter.address,
-            "seed": f"{self.shape.seed * MOST_GATEWAYS + number:016x}",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "seed": f"{self.spec.seed * MAX_GATEWAYS + index:016x}",
+            "limits": GATEWAY_LIMITS,
             "known": msgspec.to_builtins(self.discovery.snapshot()),
-            "settings": site.settings(self.shape.gateways, number),
+            "settings": gateway_settings(self.spec.gateway_count, index),
         }
 
     async def stop(self) -> None:
-        """Ends the gateways as a planned restart does, then the stand-ins. May be called again."""
+        """Shut the gateways down as a planned restart does, then stop the fakes. May be called again."""
         try:
             for gateway in self.gateways:
                 gateway.terminate()
-            await asyncio.gather(*(gateway.ended() for gateway in self.gateways))
+            await asyncio.gather(*(gateway.wait_for_exit() for gateway in self.gateways))
         finally:
             for gateway in self.gateways:
-                gateway.kill()  # where the wait itself was broken off
-            for endpoint in self._endpoints():
-                await endpoint.stop()
-            if self._folder is not None:
-                self._folder.cleanup()
+                gateway.kill()  # for when the wait itself was cancelled
+            for fake in self.fakes:
+                await fake.stop()
+            if self._directory is not None:
+                self._directory.cleanup()
--- a/quota_gateway/lab/scaling/slopes.py
+++ b/quota_gateway/lab/scaling/slopes.py
@@ -27,7 +27,7 @@
 
 from quota_gateway.lab import results
 from quota_gateway.lab.fakes.discovery import FakeDiscovery
-from quota_gateway.lab.load import deployment as site
+from quota_gateway.lab.load.deployment import gateway_settings
 from quota_gateway.lab.load.gateway_process import GatewayProcess
 from quota_gateway.lab.simulation.wire_sizes import HTTP_HEAD, call_get, listing
 from quota_gateway.network import resp
@@ -280,18 +280,18 @@
             {
                 "discovery": discovery.address,
                 "seed": f"{7:016x}",
-                "settings": site.settings(GATEWAYS),
+                "settings": gateway_settings(GATEWAYS),
                 "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 1024},
                 "known": json.loads(listing(entries(count), discovery.version, True)),
             }
         )
-        await process.ready()
-        spent = process.processor_s()
+        await process.wait_until_ready()
+        spent = process.cpu_time_s()
         await asyncio.sleep(SETTLE_S)
-        held = process.memory_mb()
+        held = process.peak_memory_mib()
     finally:
         process.terminate()
-        await process.ended()
+        await process.wait_for_exit()
         await discovery.stop()
     return 1000.0 * (spent or 0.0), (held or 0.0) * 2.0**20
 
--- /dev/null
+++ b/tests/lab/load/test_connections.py
@@ -0,0 +1,68 @@
+"""The client's connections: pipelining, extra replies, and requests that are sent again."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from quota_gateway.lab.fakes.attempt_log import Attempt, AttemptLog
+from quota_gateway.lab.load import connections
+from quota_gateway.lab.load.request_record import LossReason, RequestOutcome
+from tests.lab.load.harness import encode_value, repeatable_requests, run_load
+from tests.network.harness import wait_until
+
+
+def test_with_all_connections_busy_requests_are_pipelined(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(connections, "MAX_CONNECTIONS", 2)
+    received: list[bytes] = []
+
+    async def reply_late(arguments: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+        received.append(arguments[2])
+        await wait_until(lambda: len(received) >= 2)
+        return encode_value(arguments)
+
+    assert run_load(reply_late, repeatable_requests(12)).counts[RequestOutcome.SERVED] == 12
+
+
+def test_a_second_reply_is_counted_and_ends_its_connection() -> None:
+    async def reply_twice(arguments: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+        return encode_value(arguments) * 2
+
+    summary = run_load(reply_twice, repeatable_requests(5, interval_s=0.01))
+    assert summary.counts[RequestOutcome.SERVED] == 5
+    assert summary.extra_replies == 5
+
+
+@pytest.mark.parametrize(
+    ("min_idle_s", "forwarded", "served", "losses"),
+    [
+        (0.0, False, 2, {}),  # a close that crossed the request: it is sent again on a new connection
+        (0.0, True, 1, {LossReason.CONNECTION_CLOSED_AFTER_FORWARD: 1}),
+        (60.0, False, 1, {LossReason.CONNECTION_CLOSED: 1}),  # too soon after a reply for an idle close
+    ],
+)
+def test_a_close_loses_a_request_unless_it_crossed_it_on_an_idle_connection(
+    min_idle_s: float,
+    forwarded: bool,
+    served: int,
+    losses: dict[LossReason, int],
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(connections, "MIN_IDLE_BEFORE_CLOSE_S", min_idle_s)
+    schedule, attempt_log = repeatable_requests(2, interval_s=0.05), AttemptLog()
+    received: list[bytes] = []
+
+    async def close_on_second(arguments: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
+        received.append(arguments[2])
+        if len(received) != 2:
+            return encode_value(arguments)
+        if forwarded:
+            attempt_log.record(Attempt(arguments[2], "s0", 0.0))
+        writer.close()
+        return None
+
+    summary = run_load(close_on_second, schedule, attempt_log)
+    assert summary.counts[RequestOutcome.SERVED] == served
+    assert summary.losses == losses
+    assert summary.resent == (not min_idle_s)
