--- a/quota_gateway/lab/load/report.py
+++ b/quota_gateway/lab/load/report.py
@@ -45,8 +45,7 @@
 
 def added_latency_table(result: TrialResult) -> Table:
     """Return what the gateways add to the time at servers, beside what the client adds by itself."""
-    title = "Latency of served requests beyond their time at servers, ms"
-    table = _table(title, "", list(PERCENTILE_NAMES))
+    table = _table("Latency added to the time at servers, ms", "", list(PERCENTILE_NAMES))
     rows = {
         "with gateway": result.added_latency_ms,
         "without (client alone)": result.client_overhead_ms,
@@ -81,8 +80,8 @@
     """Return one line on how the quotas were kept."""
     audit = result.quota_audit
     return (
-        f"Forwarded: {audit.forwarded}, of which {audit.forwarded_beyond_quota} beyond their quota. "
-        f"Rejected: {audit.rejected}, of which {audit.rejected_within_quota} within it."
+        f"Forwarded: {audit.forwarded} ({audit.forwarded_beyond_quota} beyond quota). "
+        f"Rejected: {audit.rejected} ({audit.rejected_within_quota} within quota)."
     )
 
 
