--- a/quota_gateway/network/bridge.py
+++ b/quota_gateway/network/bridge.py
@@ -19,7 +19,7 @@
 from quota_gateway.network.attempt_result import AttemptResult
 from quota_gateway.network.clock import Clock
 from quota_gateway.network.commands import RequestCommand
-from quota_gateway.network.counter_client import Counter
+from quota_gateway.network.counter_client import CounterClient
 from quota_gateway.network.discovery.endpoint_list import VersionedUpdate
 from quota_gateway.network.load_report import parse_load_report
 from quota_gateway.network.log_setup import EventMessage, log_event
@@ -115,7 +115,7 @@
         loop: asyncio.AbstractEventLoop,
         policy: Policy,
         server_pools: ServerPools,
-        counter: Counter | None,
+        counter: CounterClient | None,
     ) -> None:
         self.loop = loop
         self.clock = Clock()
@@ -316,7 +316,7 @@
         if self.counter is None:
             on_reply(0.0, CallOutcome.UNREACHABLE, 0.0)
         else:
-            self.counter.call(key, amount, ttl_ms, on_reply)
+            self.counter.increment(key, amount, ttl_ms, on_reply)
 
     def _start_attempt(self, action: StartAttempt) -> None:
         """Start an attempt, or complete it unsent where it must not be sent."""
--- a/quota_gateway/network/descriptors.py
+++ b/quota_gateway/network/descriptors.py
@@ -4,13 +4,13 @@
 
 from dataclasses import dataclass
 
-from quota_gateway.network.counter_client import LINKS
+from quota_gateway.network.counter_client import CONNECTION_COUNT
 from quota_gateway.network.listener import MAX_REFUSED_CONNECTIONS
 
 # Descriptors that are neither a client's nor a server's: the counter's connections, twice while its address
 # changes; discovery's connection and the next one; the listener; the standard streams; the event loop's and
 # those of a poll.
-RESERVED_DESCRIPTORS = 2 * LINKS + 2 + 1 + 3 + 8
+RESERVED_DESCRIPTORS = 2 * CONNECTION_COUNT + 2 + 1 + 3 + 8
 
 
 @dataclass(frozen=True, slots=True)
--- a/quota_gateway/network/process.py
+++ b/quota_gateway/network/process.py
@@ -16,7 +16,7 @@
 from quota_gateway.network.bridge import Policy, PolicyBridge
 from quota_gateway.network.commands import CommandParser, RequestLimits
 from quota_gateway.network.config import ConfigError, GatewayConfig, load_config
-from quota_gateway.network.counter_client import Counter
+from quota_gateway.network.counter_client import CounterClient
 from quota_gateway.network.descriptors import allocate_descriptors
 from quota_gateway.network.discovery.poll_schedule import PollSchedule
 from quota_gateway.network.discovery.watch import EndpointWatch
@@ -85,11 +85,11 @@
             self.loop, self.config.discovery_address, self.bridge.endpoint_update_steps, schedule
         )
 
-    def _make_counter(self) -> Counter | None:
+    def _make_counter(self) -> CounterClient | None:
         address = self.config.counter_address
         if address is None:
             return None
-        return Counter(self.loop, address, self.config.settings.counter_timeout_ms / 1000.0)
+        return CounterClient(self.loop, address, self.config.settings.counter_timeout_ms / 1000.0)
 
     async def run(self, early_sighups: list[int]) -> None:
         """Serve until SIGTERM or SIGINT, then shut down.
@@ -140,7 +140,7 @@
             log_event(log, logging.WARNING, "config_change_needs_restart", applied="discovery,counter")
         self.endpoint_watch.move_to(config.discovery_address)
         if self.counter is not None and config.counter_address is not None:
-            self.counter.move(config.counter_address)
+            self.counter.move_to(config.counter_address)
         self.config = replace(
             self.config,
             discovery_address=config.discovery_address,
--- a/tests/network/harness.py
+++ b/tests/network/harness.py
@@ -354,7 +354,7 @@
     await program.start()
     if program.counter is not None:
         await wait_until(
-            lambda: program.counter is None or all(link.ready() for link in program.counter.links)
+            lambda: program.counter is None or all(each.is_ready() for each in program.counter.connections)
         )
     try:
         yield RunningGateway(program, servers, counts)
--- a/tests/network/test_counter_client.py
+++ b/tests/network/test_counter_client.py
@@ -6,18 +6,16 @@
 
 import pytest
 
-from quota_gateway.network import counter_client as counter_module
-from quota_gateway.network.counter_client import Counter
+from quota_gateway.network.counter_client import CONNECTION_COUNT, CounterClient
 from quota_gateway.policy_api.events import CallOutcome
 from tests.network.harness import (
     FakeRespServer,
-    always_reply,
     run_scenario,
     wait_until,
 )
 
 
-def test_counter_replies_pair_in_order_late_ones_too() -> None:
+def test_replies_match_calls_in_order_late_ones_too() -> None:
     async def scenario() -> None:
         release = asyncio.Event()
 
@@ -31,35 +29,40 @@
         peer = FakeRespServer(reply)
         await peer.start()
         loop = asyncio.get_running_loop()
-        made = Counter(loop, ("127.0.0.1", peer.port), 0.05)
-        ends: list[tuple[int, float, CallOutcome]] = []
-
-        def call(name: int) -> None:
-            made.call(name, 1.5, 4000.0, lambda total, ending, took: ends.append((name, total, ending)))
-
-        call(2)
-        assert ends == [(2, 0.0, CallOutcome.UNREACHABLE)]  # not connected yet: nothing was added
-        await wait_until(lambda: all(link.ready() for link in made.links))
-        call(2)
-        await wait_until(lambda: len(ends) == 2)
-        made.timeout_s = 30.0
-        call(4)
-        call(6)
+        client = CounterClient(loop, ("127.0.0.1", peer.port), 0.05)
+        completions: list[tuple[int, float, CallOutcome]] = []
+
+        def increment(key: int) -> None:
+            client.increment(
+                key,
+                1.5,
+                4000.0,
+                lambda total, outcome, duration_ms: completions.append((key, total, outcome)),
+            )
+
+        increment(2)
+        assert completions == [(2, 0.0, CallOutcome.UNREACHABLE)]  # not connected yet: nothing was added
+        await wait_until(lambda: all(connection.is_ready() for connection in client.connections))
+        increment(2)
+        await wait_until(lambda: len(completions) == 2)
+        client.timeout_s = 30.0
+        increment(4)
+        increment(6)
         release.set()
-        await wait_until(lambda: len(ends) == 4)
-        assert ends[1:] == [
+        await wait_until(lambda: len(completions) == 4)
+        assert completions[1:] == [
             (2, 0.0, CallOutcome.TIMEOUT),
             (4, 4.0, CallOutcome.OK),
             (6, 0.0, CallOutcome.REJECTED),
         ]
         assert peer.received_commands()[0] == [b"INCRTTL", b"2", b"1.500", b"4000"]
-        made.close()
+        client.close()
         await peer.stop()
 
     run_scenario(scenario())
 
 
-def test_a_counter_that_hangs_up_may_have_added_and_is_called_again_on_a_new_connection() -> None:
+def test_a_call_is_not_repeated_after_the_counter_hangs_up_and_the_next_uses_a_new_connection() -> None:
     async def scenario() -> None:
         hung = False
 
@@ -75,22 +78,24 @@
 
         peer = FakeRespServer(reply)
         await peer.start()
-        made = Counter(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
-        ends: list[tuple[float, CallOutcome]] = []
+        client = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
+        completions: list[tuple[float, CallOutcome]] = []
         for _ in range(2):
-            await wait_until(lambda: all(link.ready() for link in made.links))
-            made.call(2, 1.0, 1.0, lambda total, ending, took: ends.append((total, ending)))
-            count = len(ends)
-            await wait_until(lambda: len(ends) > count)  # noqa: B023
-        assert ends == [(0.0, CallOutcome.TIMEOUT), (3.0, CallOutcome.OK)]
+            await wait_until(lambda: all(connection.is_ready() for connection in client.connections))
+            client.increment(
+                2, 1.0, 1.0, lambda total, outcome, duration_ms: completions.append((total, outcome))
+            )
+            count = len(completions)
+            await wait_until(lambda: len(completions) > count)  # noqa: B023
+        assert completions == [(0.0, CallOutcome.TIMEOUT), (3.0, CallOutcome.OK)]
         assert len(peer.received_commands()) == 2  # the first was not repeated
-        made.close()
+        client.close()
         await peer.stop()
 
     run_scenario(scenario())
 
 
-SPOILT = [
+MALFORMED = [
     b"$3\r\nnan\r\n",
     b"$3\r\ninf\r\n",
     b"$0\r\n\r\n",
@@ -105,32 +110,34 @@
 ]
 
 
-@pytest.mark.parametrize("spoilt", SPOILT)
-def test_a_spoilt_answer_of_the_counter_may_have_added_and_ends_the_connection(spoilt: bytes) -> None:
+@pytest.mark.parametrize("malformed", MALFORMED)
+def test_a_malformed_reply_of_the_counter_may_have_added_and_ends_the_connection(malformed: bytes) -> None:
     async def scenario() -> None:
-        answers = [spoilt, b"$3\r\n4.5\r\n"]
+        answers = [malformed, b"$3\r\n4.5\r\n"]
 
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
             return b"+PONG\r\n" if words[0] == b"PING" else answers.pop(0)
 
         peer = FakeRespServer(reply)
         await peer.start()
-        made = Counter(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
-        ends: list[tuple[float, CallOutcome]] = []
+        client = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
+        completions: list[tuple[float, CallOutcome]] = []
         for _ in range(2):
-            await wait_until(lambda: all(link.ready() for link in made.links))
-            made.call(5, 1.0, 1.0, lambda total, ending, took: ends.append((total, ending)))
-            count = len(ends)
-            await wait_until(lambda: len(ends) > count)  # noqa: B023
-        assert ends == [(0.0, CallOutcome.TIMEOUT), (4.5, CallOutcome.OK)]
-        assert len(peer.writers) == counter_module.LINKS + 1
-        made.close()
+            await wait_until(lambda: all(connection.is_ready() for connection in client.connections))
+            client.increment(
+                5, 1.0, 1.0, lambda total, outcome, duration_ms: completions.append((total, outcome))
+            )
+            count = len(completions)
+            await wait_until(lambda: len(completions) > count)  # noqa: B023
+        assert completions == [(0.0, CallOutcome.TIMEOUT), (4.5, CallOutcome.OK)]
+        assert len(peer.writers) == CONNECTION_COUNT + 1
+        client.close()
         await peer.stop()
 
     run_scenario(scenario())
 
 
-def test_a_slow_part_of_the_counter_holds_back_its_own_answers_only() -> None:
+def test_a_slow_key_holds_back_the_replies_of_its_own_connection_only() -> None:
     async def scenario() -> None:
         release = asyncio.Event()
 
@@ -143,53 +150,63 @@
 
         peer = FakeRespServer(reply)
         await peer.start()
-        made = Counter(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
-        await wait_until(lambda: all(link.ready() for link in made.links))
-        ends: list[int] = []
+        client = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
+        await wait_until(lambda: all(connection.is_ready() for connection in client.connections))
+        completions: list[int] = []
 
-        def call(name: int) -> None:
-            made.call(name, 1.0, 1.0, lambda total, ending, took: ends.append(name))
+        def increment(key: int) -> None:
+            client.increment(key, 1.0, 1.0, lambda total, outcome, duration_ms: completions.append(key))
 
-        for name in (0, 2, 4, 6, 8):
-            call(name)
-        await wait_until(lambda: sorted(ends) == [2, 4, 6, 8])
+        for key in (0, 2, 4, 6, 8):
+            increment(key)
+        await wait_until(lambda: sorted(completions) == [2, 4, 6, 8])
         release.set()
-        await wait_until(lambda: len(ends) == 5)
-        made.close()
+        await wait_until(lambda: len(completions) == 5)
+        client.close()
         await peer.stop()
 
     run_scenario(scenario())
 
 
-def test_a_counter_connection_given_up_as_it_comes_up_is_opened_anew_once() -> None:
-    """Its loss and the try's end are told both. Two connections of one link would mix up their answers."""
-
+def test_pending_calls_complete_on_the_connections_to_the_old_address() -> None:
     async def scenario() -> None:
-        peer = FakeRespServer(always_reply(b"+PONG\r\n"))
-        await peer.start()
-        link = counter_module.Link(asyncio.get_running_loop(), ("127.0.0.1", peer.port))
-        await wait_until(link.ready)
-        link.connection_lost(None)
-        link.again()
-        await wait_until(lambda: len(peer.writers) == 2)
-        await wait_until(lambda: link.proven)
-        await asyncio.sleep(4 * counter_module.BACKOFF_S[0])  # a second try would come within this
-        assert len(peer.writers) == 2
-        link.close()
-        await peer.stop()
-
-    run_scenario(scenario())
-
+        release = asyncio.Event()
 
-def test_a_silent_counter_connection_is_opened_anew(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def scenario() -> None:
-        peer = FakeRespServer(always_reply(None))
-        await peer.start()
-        made = Counter(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 0.01)
-        await wait_until(lambda: len(peer.writers) > 2 * counter_module.LINKS)
-        made.close()
-        await peer.stop()
+        async def late(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
+            if words[0] == b"INCRTTL":
+                await release.wait()
+            return b"+PONG\r\n" if words[0] == b"PING" else b"$1\r\n7\r\n"
+
+        async def three(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+            return b"+PONG\r\n" if words[0] == b"PING" else b"$1\r\n3\r\n"
+
+        old, new = FakeRespServer(late), FakeRespServer(three)
+        await old.start()
+        await new.start()
+        client = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", old.port), 30.0)
+        completions: list[tuple[int, float, CallOutcome]] = []
+
+        def increment(key: int) -> None:
+            client.increment(
+                key, 1.0, 1.0, lambda total, outcome, duration_ms: completions.append((key, total, outcome))
+            )
+
+        await wait_until(lambda: all(connection.is_ready() for connection in client.connections))
+        increment(2)
+        increment(4)
+        await wait_until(lambda: len(old.received_commands()) == 2)
+        client.move_to(("127.0.0.1", new.port))
+        await wait_until(lambda: all(connection.is_ready() for connection in client.connections))
+        increment(4)  # its old call completes now: replies for one key keep their order
+        await wait_until(lambda: len(completions) == 2)
+        assert completions == [(4, 0.0, CallOutcome.TIMEOUT), (4, 3.0, CallOutcome.OK)]
+        release.set()
+        await wait_until(lambda: len(completions) == 3)
+        await wait_until(lambda: [what for what, *_ in old.log].count("closed") == CONNECTION_COUNT)
+        assert completions[2] == (2, 7.0, CallOutcome.OK)
+        assert len(new.received_commands()) == 1
+        client.close()
+        await old.stop()
+        await new.stop()
 
-    monkeypatch.setattr(counter_module, "SILENT_S", 0.0)
-    monkeypatch.setattr(counter_module, "PING_S", 0.01)
     run_scenario(scenario())
--- /dev/null
+++ b/tests/network/test_counter_connection.py
@@ -0,0 +1,83 @@
+"""One connection to the shared counter: reconnection, heartbeat, and the states of its life."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from quota_gateway.network import counter_connection
+from quota_gateway.network.counter_client import CONNECTION_COUNT, CounterClient
+from quota_gateway.network.counter_connection import ConnectionState, CounterConnection, PendingCall
+from tests.network.harness import FakeRespServer, always_reply, run_scenario, wait_until
+
+
+def state(connection: CounterConnection) -> ConnectionState:
+    return connection.state
+
+
+def test_a_connection_is_drained_once_its_last_pending_call_has_a_reply() -> None:
+    async def scenario() -> None:
+        release = asyncio.Event()
+
+        async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+            if words[0] != b"PING":
+                await release.wait()
+            return b"+PONG\r\n" if words[0] == b"PING" else b"$1\r\n3\r\n"
+
+        peer = FakeRespServer(reply)
+        await peer.start()
+        loop = asyncio.get_running_loop()
+        connection = CounterConnection(loop, ("127.0.0.1", peer.port))
+        assert state(connection) is ConnectionState.CONNECTING
+        await wait_until(connection.is_ready)
+        assert state(connection) is ConnectionState.READY
+        totals: list[float] = []
+        call = PendingCall(loop.time(), 5, lambda total, outcome, duration_ms: totals.append(total))
+        connection.send(b"*1\r\n$4\r\nCALL\r\n", call)
+        connection.drain()
+        assert state(connection) is ConnectionState.DRAINING
+        assert not connection.is_ready()
+        release.set()
+        await wait_until(lambda: state(connection) is ConnectionState.CLOSED)
+        assert totals == [3.0]
+        assert len(peer.writers) == 1
+        await peer.stop()
+
+    run_scenario(scenario())
+
+
+def test_a_connection_given_up_just_as_it_is_made_is_opened_again_once() -> None:
+    """Both its loss and the failed attempt are reported; two connections would mix up their replies."""
+
+    async def scenario() -> None:
+        peer = FakeRespServer(always_reply(b"+PONG\r\n"))
+        await peer.start()
+        connection = CounterConnection(asyncio.get_running_loop(), ("127.0.0.1", peer.port))
+        await wait_until(connection.is_ready)
+        connection.connection_lost(None)
+        connection.reconnect()
+        await wait_until(lambda: len(peer.writers) == 2)
+        await wait_until(lambda: not connection.reconnect_delay_s)
+        await asyncio.sleep(
+            4 * counter_connection.MIN_RECONNECT_DELAY_S
+        )  # a second attempt would come within this
+        assert len(peer.writers) == 2
+        connection.close()
+        await peer.stop()
+
+    run_scenario(scenario())
+
+
+def test_a_silent_connection_is_opened_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
+        peer = FakeRespServer(always_reply(None))
+        await peer.start()
+        client = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 0.01)
+        await wait_until(lambda: len(peer.writers) > 2 * CONNECTION_COUNT)
+        client.close()
+        await peer.stop()
+
+    monkeypatch.setattr(counter_connection, "SILENCE_TIMEOUT_S", 0.0)
+    monkeypatch.setattr(counter_connection, "HEARTBEAT_INTERVAL_S", 0.01)
+    run_scenario(scenario())
--- a/tests/network/test_descriptors.py
+++ b/tests/network/test_descriptors.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from quota_gateway.network.counter_client import LINKS
+from quota_gateway.network.counter_client import CONNECTION_COUNT
 from quota_gateway.network.descriptors import RESERVED_DESCRIPTORS, allocate_descriptors
 from tests.network.harness import (
     CUSTOMER,
@@ -89,7 +89,7 @@
                 good.send(b"CALL.GET", CUSTOMER, b"%d" % number, READ_FIELDS)
             await wait_until(lambda: len(server.received_commands()) == most)
             await counts.start(counter_port)
-            await wait_until(lambda: len(counts.writers) >= LINKS)
+            await wait_until(lambda: len(counts.writers) >= CONNECTION_COUNT)
             assert len(os.listdir(f"/proc/{process.pid}/fd")) <= sockets
             release.set()
             assert [await good.read_reply() for _ in range(most)] == [b"value"] * most
--- a/tests/network/test_process.py
+++ b/tests/network/test_process.py
@@ -9,9 +9,7 @@
 
 import pytest
 
-from quota_gateway.network import counter_client as counter_module
-from quota_gateway.network.counter_client import Counter
-from quota_gateway.policy_api.events import CallOutcome
+from quota_gateway.network.counter_client import CONNECTION_COUNT
 from tests.network.harness import (
     CUSTOMER,
     OK_RESPONSE,
@@ -137,7 +135,7 @@
             while b"event=config_reloaded" not in await process.stderr.readline():
                 pass
         discovery, counts = places[2]
-        await wait_until(lambda: len(discovery.targets) > 1 and len(counts.writers) == counter_module.LINKS)
+        await wait_until(lambda: len(discovery.targets) > 1 and len(counts.writers) == CONNECTION_COUNT)
         assert discovery.targets[0] == "/v1/servers"
         assert "since=3&" in discovery.targets[1]
         ids = (b"%016x" % number for number in range(100, 10_000))
@@ -150,45 +148,3 @@
             await peer.stop()
 
     run_scenario(scenario())
-
-
-def test_calls_that_are_out_end_on_the_old_links_of_the_counter() -> None:
-    async def scenario() -> None:
-        release = asyncio.Event()
-
-        async def late(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
-            if words[0] == b"INCRTTL":
-                await release.wait()
-            return b"+PONG\r\n" if words[0] == b"PING" else b"$1\r\n7\r\n"
-
-        async def three(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
-            return b"+PONG\r\n" if words[0] == b"PING" else b"$1\r\n3\r\n"
-
-        old, new = FakeRespServer(late), FakeRespServer(three)
-        await old.start()
-        await new.start()
-        made = Counter(asyncio.get_running_loop(), ("127.0.0.1", old.port), 30.0)
-        ends: list[tuple[int, float, CallOutcome]] = []
-
-        def call(name: int) -> None:
-            made.call(name, 1.0, 1.0, lambda total, ending, took: ends.append((name, total, ending)))
-
-        await wait_until(lambda: all(link.ready() for link in made.links))
-        call(2)
-        call(4)
-        await wait_until(lambda: len(old.received_commands()) == 2)
-        made.move(("127.0.0.1", new.port))
-        await wait_until(lambda: all(link.ready() for link in made.links))
-        call(4)  # its old call ends now: answers for one name keep their order
-        await wait_until(lambda: len(ends) == 2)
-        assert ends == [(4, 0.0, CallOutcome.TIMEOUT), (4, 3.0, CallOutcome.OK)]
-        release.set()
-        await wait_until(lambda: len(ends) == 3)
-        await wait_until(lambda: [what for what, *_ in old.log].count("closed") == counter_module.LINKS)
-        assert ends[2] == (2, 7.0, CallOutcome.OK)
-        assert len(new.received_commands()) == 1
-        made.close()
-        await old.stop()
-        await new.stop()
-
-    run_scenario(scenario())
