--- a/quota_gateway/simulator_adapter.py
+++ b/quota_gateway/simulator_adapter.py
@@ -1,14 +1,16 @@
-"""The wire adapter: hosts gateways for the simulator, translating JSON lines. It decides nothing.
+"""Hosts policies for the simulator and translates its wire of JSON lines (WIRE). It decides nothing.
 
-Run as ``python -m quota_gateway.simulator_adapter``. The names on the simulator's wire are mapped to those of
-the policy's contract here and nowhere else.
+Run as ``python -m quota_gateway.simulator_adapter``: each line of standard input is a batch of messages,
+answered by a line of actions on standard output. The names on the wire are mapped to those of the policy's
+contract here and nowhere else.
 """
 
 from __future__ import annotations
 
 import json
 import sys
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable, Iterator, Sequence
+from contextlib import contextmanager
 from enum import Enum
 from typing import Any, TextIO, TypeVar
 
@@ -41,7 +43,7 @@
     number_or,
 )
 
-ENDINGS = {
+OUTCOME_NAMES = {
     "pass": CallOutcome.OK,
     "fault": CallOutcome.ERROR,
     "no_room": CallOutcome.REJECTED,
@@ -51,18 +53,19 @@
     "undone": CallOutcome.CANCELLED,
     "stale_send": CallOutcome.NOT_SENT,
 }
-STATES = {
+STATE_NAMES = {
     "active": EndpointState.ACTIVE,
     "leaving": EndpointState.DRAINING,
     "left": EndpointState.GONE,
 }
-LISTS = {
+UPDATE_KIND_NAMES = {
     "incr": UpdateKind.DELTA,
     "total": UpdateKind.SNAPSHOT,
     "warm_copy": UpdateKind.CACHED_SNAPSHOT,
     "lost": UpdateKind.WATCH_FAILED,
 }
-WIDTHS = {
+# The number of arguments of each message; missing ones count as null.
+ARGUMENT_COUNTS = {
     "create": 3,
     "shutdown": 1,
     "directory": 2,
@@ -76,164 +79,217 @@
     "whisper": 3,
     "ledger_reply": 5,
 }
+ENDPOINT_COLUMNS = 7
+QUOTED_CHARACTERS = 200  # of a message that an error quotes
+
 E = TypeVar("E", bound=Enum)
+WireAction = list[Any]  # an action's name and arguments, as they are written
 
 
 class WireError(ValueError):
     """A message that this adapter can't read."""
 
 
-def word(table: dict[str, E], value: Any, what: str) -> E:
-    """One word of the wire in the interface's terms."""
-    try:
-        return table[value]
-    except (KeyError, TypeError):
-        raise WireError(f"unknown {what} {value!r}") from None
-
-
-class Host:
-    """All gateways of one process, by their ids. They share the numbered lists of the wire, nothing else."""
+class GatewayHost:
+    """The gateways of one process, by their ids. They share the wire's endpoint lists and nothing else."""
 
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}
-        self.fields: dict[int, list[str]] = {}
-        self.lists: dict[int, tuple[Endpoint, ...]] = {}
+        self._report_fields: dict[int, list[str]] = {}  # of each gateway: the columns of a load report
+        self._endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}  # by the number that the wire gives them
 
-    def batch(self, text: str) -> str:
-        """Answers one line of the wire."""
+    def handle_line(self, text: str) -> str:
+        """Answer one batch of messages; raises `WireError`."""
         try:
-            message = json.loads(text)
-            now, inbox = float(message["moment_ms"]), message["inbox"]
+            batch = json.loads(text)
+            now_ms, inbox = float(batch["moment_ms"]), batch["inbox"]
         except (ValueError, KeyError, TypeError) as error:
-            raise WireError(f"not a batch ({error!r}): {text[:200]!r}") from error
+            raise WireError(f"not a batch ({error!r}): {text[:QUOTED_CHARACTERS]!r}") from error
         if not isinstance(inbox, list):
-            raise WireError(f"inbox is not a list: {text[:200]!r}")
-        out: list[list[Any]] = []
-        for raw in inbox:
-            out += self.event(now, raw)
-        return json.dumps({"actions": out}, separators=(",", ":"))
-
-    def event(self, now: float, raw: Any) -> list[list[Any]]:
-        """Hands one event to its gateway and returns the actions in the wire's form."""
-        try:
-            kind, args = raw[0], list(raw[1:])
-            width = WIDTHS.get(kind)
-            if width is None:
-                raise WireError(f"unknown event {kind!r}")
-            args += [None] * (width - len(args))
+            raise WireError(f"inbox is not a list: {text[:QUOTED_CHARACTERS]!r}")
+        actions: list[WireAction] = []
+        for message in inbox:
+            actions += self._handle_message(now_ms, message)
+        return json.dumps({"actions": actions}, separators=(",", ":"))
+
+    def _handle_message(self, now_ms: float, message: Any) -> list[WireAction]:
+        with _wire_errors(message):
+            kind, arguments = _split_message(message)
             if kind == "directory":
-                self.lists[int(args[0])] = tuple(self.entry(row) for row in args[1])
+                self._endpoint_lists[int(arguments[0])] = tuple(_decode_endpoint(row) for row in arguments[1])
                 return []
-            gid = int(args[0])
-            if kind == "create":
-                given = args[2] or {}
-                made, seed = decode_settings(given), int(args[1])
-                self.fields[gid] = list((given.get("reporting") or {}).get("fields") or [])
-            elif kind == "shutdown":
-                self.gateways.pop(gid, None)
-                return []
-            elif gid not in self.gateways:
-                raise WireError(f"event for gateway {gid}, which was not created")
-            else:
-                event = self.decode(kind, gid, args)
-        except WireError:
-            raise
-        except (ValueError, KeyError, TypeError, IndexError, AttributeError) as error:
-            raise WireError(f"can't read event ({error!r}): {json.dumps(raw)[:200]}") from error
-        try:
-            if kind == "create":
-                self.gateways[gid] = Gateway(made, seed)
+            gateway_id = int(arguments[0])
+            if kind == "shutdown":
+                self.gateways.pop(gateway_id, None)
                 return []
-            actions = self.gateways[gid].handle(now, event) if event is not None else []
-        except Exception as error:  # the wire wants the text of any failure of the decisions
-            return [["die", gid, f"{type(error).__name__}: {error}"]]
-        return [encode(gid, action) for action in actions]
-
-    def entry(self, row: list[Any]) -> Endpoint:
-        """One server of a list."""
-        hint, started, zone, cell, _kind, server, state = (list(row) + [None] * 7)[:7]
-        return Endpoint(
-            server_id=str(server),
-            zone=str(zone),
-            cell=int(number_or(cell)),
-            weight=number_or(hint, 1.0),
-            started_ms=number_or(started),
-            state=word(STATES, state, "server state"),
-        )
-
-    def decode(self, kind: str, gid: int, args: list[Any]) -> Event | None:
-        """An event in the interface's terms; None for what no decision needs."""
-        if kind == "accept":
-            return Request(
-                request_id=str(args[1]),
-                class_name=str(args[2]),
-                plan=str(args[3]),
-                customer=str(args[4]),
-                time_left_ms=number_or(args[5]),
-                units=number_or(args[6], 1.0),
-                customer_gateways=max(1, int(number_or(args[7], 1))),
-            )
-        if kind == "ended":
-            report = dict(zip(self.fields.get(gid, []), args[9] or [], strict=False))
-            return AttemptCompleted(
-                request_id=str(args[1]),
-                attempt=int(number_or(args[2])),
-                server_id=str(args[3]),
-                outcome=word(ENDINGS, args[4], "outcome"),
-                duration_ms=number_or(args[5]),
-                request_completed=bool(args[6]),
-                queue_length=optional(report.get("waiting")),
-                active_requests=optional(report.get("active")),
-            )
-        if kind == "topology":
-            how = word(LISTS, args[1], "list kind")
-            return EndpointUpdate(how, () if how is UpdateKind.WATCH_FAILED else self.lists[int(args[3])])
-        if kind == "gone":
-            return ClientDisconnected(str(args[1]))
-        if kind == "alarm":
-            return TimerFired(int(args[1]))
-        if kind == "ledger_reply":
-            ending = word(ENDINGS, args[4], "outcome")
-            return CounterReply(int(args[2]), number_or(args[3]), ending, number_or(args[1]))
-        if kind == "streaming":
-            return ResponseStarted(str(args[1]), int(number_or(args[2])))
-        return None  # probes and messages to peers are never asked for
-
-
-def optional(value: Any) -> float | None:
-    """A reported figure, or None."""
+        if kind == "create":
+            return self._create_gateway(gateway_id, message, arguments)
+        with _wire_errors(message):
+            if gateway_id not in self.gateways:
+                raise WireError(f"event for gateway {gateway_id}, which was not created")
+            event = self._decode_event(kind, gateway_id, arguments)
+        if event is None:
+            return []
+        return _run_policy(gateway_id, lambda: self.gateways[gateway_id].handle(now_ms, event))
+
+    def _create_gateway(self, gateway_id: int, message: Any, arguments: Sequence[Any]) -> list[WireAction]:
+        with _wire_errors(message):
+            raw_settings = arguments[2] or {}
+            settings, seed = decode_settings(raw_settings), int(arguments[1])
+            reporting = raw_settings.get("reporting") or {}
+            self._report_fields[gateway_id] = list(reporting.get("fields") or [])
+
+        def create() -> list[Action]:
+            self.gateways[gateway_id] = Gateway(settings, seed)
+            return []
+
+        return _run_policy(gateway_id, create)
+
+    def _decode_event(self, kind: str, gateway_id: int, arguments: Sequence[Any]) -> Event | None:
+        """Decode an event of the policy's contract; None for probes and messages that no policy asks for."""
+        match kind:
+            case "accept":
+                return _decode_request(arguments)
+            case "ended":
+                return _decode_attempt_completed(arguments, self._report_fields.get(gateway_id, []))
+            case "topology":
+                return self._decode_endpoint_update(arguments)
+            case "gone":
+                return ClientDisconnected(str(arguments[1]))
+            case "alarm":
+                return TimerFired(int(arguments[1]))
+            case "ledger_reply":
+                return _decode_counter_reply(arguments)
+            case "streaming":
+                return ResponseStarted(str(arguments[1]), int(number_or(arguments[2])))
+        return None
+
+    def _decode_endpoint_update(self, arguments: Sequence[Any]) -> EndpointUpdate:
+        kind = _decode_name(UPDATE_KIND_NAMES, arguments[1], "list kind")
+        if kind is UpdateKind.WATCH_FAILED:
+            return EndpointUpdate(kind)
+        return EndpointUpdate(kind, self._endpoint_lists[int(arguments[3])])
+
+
+@contextmanager
+def _wire_errors(message: Any) -> Iterator[None]:
+    """Raise `WireError` for whatever a malformed message makes a decoder raise."""
+    try:
+        yield
+    except WireError:
+        raise
+    except (ValueError, KeyError, TypeError, IndexError, AttributeError) as error:
+        quoted = json.dumps(message)[:QUOTED_CHARACTERS]
+        raise WireError(f"can't read event ({error!r}): {quoted}") from error
+
+
+def _run_policy(gateway_id: int, step: Callable[[], list[Action]]) -> list[WireAction]:
+    """Run a step of a gateway; the wire takes the text of any failure in it as an action."""
+    try:
+        actions = step()
+    except Exception as error:
+        return [["die", gateway_id, f"{type(error).__name__}: {error}"]]
+    return [encode_action(gateway_id, action) for action in actions]
+
+
+def _split_message(message: Any) -> tuple[str, list[Any]]:
+    """Return the kind of a message and its arguments, filled up with nulls."""
+    kind, arguments = message[0], list(message[1:])
+    count = ARGUMENT_COUNTS.get(kind)
+    if count is None:
+        raise WireError(f"unknown event {kind!r}")
+    return kind, arguments + [None] * (count - len(arguments))
+
+
+def _decode_name(names: dict[str, E], value: Any, what: str) -> E:
+    """Return the member that a name on the wire stands for."""
+    try:
+        return names[value]
+    except (KeyError, TypeError):
+        raise WireError(f"unknown {what} {value!r}") from None
+
+
+def _decode_endpoint(row: Sequence[Any]) -> Endpoint:
+    columns = [*row, *[None] * ENDPOINT_COLUMNS][:ENDPOINT_COLUMNS]
+    weight, started_ms, zone, cell, _server_kind, server_id, state = columns
+    return Endpoint(
+        server_id=str(server_id),
+        zone=str(zone),
+        cell=int(number_or(cell)),
+        weight=number_or(weight, 1.0),
+        started_ms=number_or(started_ms),
+        state=_decode_name(STATE_NAMES, state, "server state"),
+    )
+
+
+def _decode_request(arguments: Sequence[Any]) -> Request:
+    return Request(
+        request_id=str(arguments[1]),
+        class_name=str(arguments[2]),
+        plan=str(arguments[3]),
+        customer=str(arguments[4]),
+        time_left_ms=number_or(arguments[5]),
+        units=number_or(arguments[6], 1.0),
+        customer_gateways=max(1, int(number_or(arguments[7], 1))),
+    )
+
+
+def _decode_attempt_completed(arguments: Sequence[Any], report_fields: Sequence[str]) -> AttemptCompleted:
+    report = dict(zip(report_fields, arguments[9] or [], strict=False))
+    return AttemptCompleted(
+        request_id=str(arguments[1]),
+        attempt=int(number_or(arguments[2])),
+        server_id=str(arguments[3]),
+        outcome=_decode_name(OUTCOME_NAMES, arguments[4], "outcome"),
+        duration_ms=number_or(arguments[5]),
+        request_completed=bool(arguments[6]),
+        queue_length=_reported_number(report.get("waiting")),
+        active_requests=_reported_number(report.get("active")),
+    )
+
+
+def _decode_counter_reply(arguments: Sequence[Any]) -> CounterReply:
+    return CounterReply(
+        key=int(arguments[2]),
+        total=number_or(arguments[3]),
+        outcome=_decode_name(OUTCOME_NAMES, arguments[4], "outcome"),
+        duration_ms=number_or(arguments[1]),
+    )
+
+
+def _reported_number(value: Any) -> float | None:
     return float(value) if isinstance(value, int | float) and not isinstance(value, bool) else None
 
 
-def encode(gid: int, action: Action) -> list[Any]:
-    """An action in the wire's form."""
+def encode_action(gateway_id: int, action: Action) -> WireAction:
+    """Encode an action of a gateway for the wire."""
     match action:
-        case StartAttempt(request_id, server, timeout_ms):
-            return ["hand_off", gid, request_id, timeout_ms, server]
+        case StartAttempt(request_id, server_id, timeout_ms):
+            return ["hand_off", gateway_id, request_id, timeout_ms, server_id]
         case Reject(request_id, retry_after_ms):
-            return ["bounce", gid, request_id, retry_after_ms]
+            return ["bounce", gateway_id, request_id, retry_after_ms]
         case Fail(request_id):
-            return ["give_up", gid, request_id]
+            return ["give_up", gateway_id, request_id]
         case CancelAttempt(request_id, attempt):
-            return ["recall", gid, request_id, attempt]
+            return ["recall", gateway_id, request_id, attempt]
         case SetTimer(token, at_ms):
-            return ["remind", gid, token, at_ms]
-        case IncrementCounter(name, amount, ttl_ms):
-            return ["incr", gid, name, amount, ttl_ms]
+            return ["remind", gateway_id, token, at_ms]
+        case IncrementCounter(key, amount, ttl_ms):
+            return ["incr", gateway_id, key, amount, ttl_ms]
         case WatchEndpoints():
-            return ["tail", gid, True]
+            return ["tail", gateway_id, True]
         case LogEvent(event, fields):
-            return ["say_log", gid, format_event(event, fields)]
+            return ["say_log", gateway_id, format_event(event, fields)]
 
 
 def serve(lines: Iterable[str], out: TextIO) -> int:
-    """Answers every line until the input ends; returns the exit status."""
-    host = Host()
+    """Answer every line until the input ends; return the exit status, 1 for a line that can't be read."""
+    host = GatewayHost()
     for line in lines:
         if not line.strip():
             continue
         try:
-            reply = host.batch(line)
+            reply = host.handle_line(line)
         except WireError as error:
             print(f"quota_gateway.simulator_adapter: {error}", file=sys.stderr)
             return 1
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -25,7 +25,7 @@
     WatchEndpoints,
 )
 from quota_gateway.policy_api.events import Event
-from quota_gateway.simulator_adapter import Host, WireError, encode, serve
+from quota_gateway.simulator_adapter import GatewayHost, WireError, encode_action, serve
 
 ROOT = Path(__file__).resolve().parent.parent
 PARAMS: dict[str, Any] = {
@@ -55,18 +55,18 @@
     return ["accept", gid, ref, "read", "basic", "c1", 900.0, 1, 2, 0, False, False]
 
 
-def started(*gids: int) -> Host:
-    host = Host()
+def started(*gids: int) -> GatewayHost:
+    host = GatewayHost()
     events: list[list[Any]] = []
     for gid in gids:
         events += [["create", gid, 7 + gid, PARAMS], ["directory", 0, [entry(f"s{gid}:1")]]]
         events += [["topology", gid, "warm_copy", 1, 0]]
-    host.batch(line(10.0, *events))
+    host.handle_line(line(10.0, *events))
     return host
 
 
-def actions(host: Host, now: float, *events: list[Any]) -> list[list[Any]]:
-    found: list[list[Any]] = json.loads(host.batch(line(now, *events)))["actions"]
+def actions(host: GatewayHost, now: float, *events: list[Any]) -> list[list[Any]]:
+    found: list[list[Any]] = json.loads(host.handle_line(line(now, *events)))["actions"]
     return found
 
 
@@ -121,7 +121,7 @@
         (WatchEndpoints(), ["tail", 1, True]),
         (LogEvent("x", (("y", "a b"),)), ["say_log", 1, 'event=x y="a b"']),
     ]
-    assert [encode(1, action) for action, _ in made] == [wire for _, wire in made]
+    assert [encode_action(1, action) for action, _ in made] == [wire for _, wire in made]
 
 
 @pytest.mark.parametrize(
@@ -142,7 +142,7 @@
     assert out.getvalue() == ""
     assert "quota_gateway.simulator_adapter: " in capsys.readouterr().err
     with pytest.raises(WireError):
-        Host().batch(text)
+        GatewayHost().handle_line(text)
 
 
 def test_failing_decision_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
