--- /dev/null
+++ b/quota_gateway/lab/scaling/network_costs.py
@@ -0,0 +1,113 @@
+"""What the network code costs: processor time for one request, and bytes of the control messages."""
+
+from __future__ import annotations
+
+import asyncio
+
+from quota_gateway.lab.scaling.scripted_gateway import (
+    DEADLINE_MS,
+    GATEWAYS_PER_CUSTOMER,
+    PLAN,
+    SETTINGS_WITH_COUNTER,
+    endpoint_records,
+)
+from quota_gateway.lab.scaling.slope import MILLISECONDS, Slope, processor_time_ms
+from quota_gateway.lab.scaling.slope_names import SlopeName
+from quota_gateway.lab.simulation.wire_sizes import HTTP_HEADER_BYTES, call_get, endpoint_list
+from quota_gateway.network import resp
+from quota_gateway.network.commands import CommandParser, RequestLimits
+from quota_gateway.network.discovery.watch import WAIT_S, Exchange
+from quota_gateway.policy.gateway import stable
+
+CHANGE_COUNTS = (1, 10, 100)
+KEYS = 200  # of the counter, whose digits differ in number
+KEY_TTL = b"60000"
+COUNTER_TOTALS = (1, 42.5, 1234.567)
+LIST_VERSION = 41_000
+LEFT_MS = 400  # of a request's deadline, as it is forwarded
+VALUE = b"x" * 64
+
+
+class RecordingTransport(asyncio.Transport):
+    """Keeps what is written to it."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.data = b""
+
+    def write(self, data: bytes | bytearray | memoryview) -> None:
+        """Append to what was written."""
+        self.data += bytes(data)
+
+
+def watch_request() -> bytes:
+    """Return a watch's HTTP request, as the network code writes it."""
+    transport, exchange = RecordingTransport(), Exchange(lambda *_: None, lambda: None)
+    exchange.connection_made(transport)
+    exchange.get("10.2.0.1:8500", f"/v1/servers?since={LIST_VERSION}&timeout_ms={WAIT_S * 1000.0:.0f}")
+    return transport.data
+
+
+def message_sizes() -> list[Slope]:
+    """Return bytes on the wire, both ways, of a gateway's watch and of its calls to the counter.
+
+    TCP's own bytes, and acknowledgements, are not included.
+    """
+    return [*_watch_sizes(), *_counter_sizes()]
+
+
+def _watch_sizes() -> list[Slope]:
+    request = len(watch_request())
+    calls = Slope(SlopeName.IDLE_WATCH_CALLS, "calls/s", "gateways")
+    calls.add(1, [1.0 / WAIT_S])
+    idle = Slope(SlopeName.IDLE_WATCH_BYTES, "bytes/s", "gateways")
+    idle.add(1, [(request + HTTP_HEADER_BYTES + len(endpoint_list((), LIST_VERSION, full=False))) / WAIT_S])
+    update = Slope(SlopeName.UPDATE_BYTES, "bytes", "changes")
+    for count in CHANGE_COUNTS:
+        body = endpoint_list(endpoint_records(count), LIST_VERSION, full=False)
+        update.add(count, [float(request + HTTP_HEADER_BYTES + len(body))])
+    return [calls, idle, update]
+
+
+def _counter_sizes() -> list[Slope]:
+    call = Slope(SlopeName.COUNTER_CALL_BYTES, "bytes", "calls")
+    reply = Slope(SlopeName.COUNTER_REPLY_BYTES, "bytes", "calls")
+    keys = [stable(f"{i * 7919:016x}/{60_000 * i}") for i in range(KEYS)]
+    calls = [resp.encode_command(b"INCRTTL", b"%d" % key, b"2.000", KEY_TTL) for key in keys]
+    replies = [resp.encode_bulk(b"%.7g" % total) for total in COUNTER_TOTALS]
+    call.add(1, [float(len(message)) for message in calls])
+    reply.add(1, [float(len(message)) for message in replies])
+    return [call, reply]
+
+
+def costs_by_request(repeats: int) -> list[Slope]:
+    """Measure the network code's work for one request: command, response and call to the counter."""
+    command_parser = CommandParser(SETTINGS_WITH_COUNTER, RequestLimits(8.0, DEADLINE_MS))
+    command = call_get("00000000b4d65521", "9b1f03aa5c7e2d41", PLAN, 480.0, 2.0, GATEWAYS_PER_CUSTOMER)
+    response = b"*3\r\n" + resp.encode_bulk(VALUE) + b"$-1\r\n$-1\r\n"
+
+    def forward_command() -> None:
+        parser = resp.Parser()
+        parser.feed(command)
+        words = parser.next_message()
+        assert isinstance(words, list)
+        command_parser.parse(words).encode(LEFT_MS)
+
+    def read_response() -> None:
+        parser = resp.Parser()
+        parser.feed(response)
+        parser.next_message()
+
+    def write_counter_call() -> None:
+        resp.encode_command(b"INCRTTL", b"%d" % (7919 << 40), b"%.3f" % 2.0, KEY_TTL)
+
+    slopes = []
+    for name, call in (
+        (SlopeName.CLIENT_COMMAND, forward_command),
+        (SlopeName.SERVER_RESPONSE, read_response),
+        (SlopeName.COUNTER_CALL, write_counter_call),
+    ):
+        slope = Slope(name, MILLISECONDS, "requests")
+        slope.add(1, processor_time_ms(call, repeats))
+        slopes.append(slope)
+    return slopes
--- /dev/null
+++ b/quota_gateway/lab/scaling/process_costs.py
@@ -0,0 +1,85 @@
+"""What a real gateway's process costs to start and to keep in memory."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import subprocess
+import sys
+import tempfile
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from pathlib import Path
+
+from quota_gateway.lab.fakes import DiscoveryStandIn
+from quota_gateway.lab.load import deployment
+from quota_gateway.lab.load.gateway_process import GatewayProcess
+from quota_gateway.lab.scaling.scripted_gateway import GATEWAYS, POLICY_SEED, endpoint_records
+from quota_gateway.lab.scaling.slope import MILLISECONDS, Slope
+from quota_gateway.lab.scaling.slope_names import SlopeName
+from quota_gateway.lab.simulation.wire_sizes import endpoint_list
+
+SETTLE_S = 0.3  # between a gateway's first answer and the reading of its memory
+BYTES_PER_MB = 2.0**20
+PRINT_RESIDENT_BYTES = """
+import os, resource
+import quota_gateway.network.__main__
+with open("/proc/self/statm") as file:
+    print(int(file.read().split()[1]) * resource.getpagesize())
+"""
+
+
+@dataclass(frozen=True, slots=True)
+class ProcessCost:
+    """What one process took."""
+
+    start_ms: float  # processor time to its first answer
+    resident_bytes: float  # the most, soon after
+
+
+def empty_process_memory(repeats: int) -> Slope:
+    """Measure the resident bytes of a process that has loaded a gateway's code and holds nothing yet."""
+    slope = Slope(SlopeName.EMPTY_PROCESS, "bytes", "processes")
+    command = [sys.executable, "-c", PRINT_RESIDENT_BYTES]
+    runs = [subprocess.run(command, capture_output=True, check=True) for _ in range(repeats)]
+    slope.add(1, [float(run.stdout) for run in runs])
+    return slope
+
+
+def costs_by_process(counts: Sequence[int], repeats: int, step: Callable[[], None]) -> list[Slope]:
+    """Measure a process's start and memory by the servers in its list; `step` is called after each length."""
+    start = Slope(SlopeName.PROCESS_START, MILLISECONDS, "servers")
+    resident = Slope(SlopeName.PROCESS_RESIDENT, "bytes", "servers")
+    for count in counts:
+        with tempfile.TemporaryDirectory(prefix="quota-gateway-") as folder:
+            costs = [asyncio.run(_run_process(count, Path(folder))) for _ in range(repeats)]
+        start.add(count, [cost.start_ms for cost in costs])
+        resident.add(count, [cost.resident_bytes for cost in costs])
+        step()
+    return [start, resident]
+
+
+async def _run_process(count: int, folder: Path) -> ProcessCost:
+    """Run a real gateway to its first answer, with a cached list to which discovery has no changes."""
+    discovery = DiscoveryStandIn()
+    await discovery.start()
+    process = GatewayProcess("gateway", folder)
+    try:
+        process.start(
+            {
+                "discovery": discovery.address,
+                "seed": f"{POLICY_SEED:016x}",
+                "settings": deployment.settings(GATEWAYS),
+                "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 1024},
+                "known": json.loads(endpoint_list(endpoint_records(count), discovery.version, full=True)),
+            }
+        )
+        await process.ready()
+        processor_s = process.processor_s()
+        await asyncio.sleep(SETTLE_S)
+        resident_mb = process.memory_mb()
+    finally:
+        process.terminate()
+        await process.ended()
+        await discovery.stop()
+    return ProcessCost(1000.0 * (processor_s or 0.0), (resident_mb or 0.0) * BYTES_PER_MB)
--- a/tests/lab/scaling/test_capacity.py
+++ b/tests/lab/scaling/test_capacity.py
@@ -11,67 +11,44 @@
 import pytest
 
 from quota_gateway.lab.scaling import capacity
-from quota_gateway.lab.toml_config import load_config
+from quota_gateway.lab.scaling.fleet_plan import load_fleet_plan
+from quota_gateway.lab.scaling.measured_slopes import MeasuredSlopes
+from quota_gateway.lab.scaling.requirement import Requirement
+from quota_gateway.lab.scaling.slope_names import SlopeName
 
 ROOT = Path(__file__).resolve().parents[3]
 SIZE = ROOT / "experiments" / "sizes" / "ahead.toml"
-NAMES = (
-    "decision: request and its outcome",
-    "tick",
-    "one change of the list",
-    "first list taken in by a new module",
-    "whole list read from JSON",
-    "whole list",
-    "one change",
-    "records of servers",
-    "records of customers",
-    "tick, by customers with use to tell",
-    "client's command read and passed on",
-    "server's answer read",
-    "counter's call written",
-    "a gateway's process, nothing held",
-    "a gateway's process, most resident",
-    "a gateway's start, to its first answer",
-    "an idle watch: call and answer",
-    "news of a watch: call and answer",
-    "counter: call written",
-    "counter: answer",
-)
-
-
-def slopes(path: Path, **changes: float) -> Path:
+
+
+def write_slopes(path: Path) -> Path:
     """Each figure is 1 and a thousandth for each of what it is against."""
-    rows = [
-        {"name": name, "points": [], "fit": {"intercept": 1.0, "slope": changes.get(name, 0.001)}}
-        for name in NAMES
-    ]
+    rows = [{"name": name, "points": [], "fit": {"intercept": 1.0, "slope": 0.001}} for name in SlopeName]
     machine = {"cpu": "c", "cores": 1, "python": "3", "date": "d", "reference_ms": 1.0, "load_1m": 0.0}
     path.write_text(json.dumps({"machine": machine, "slopes": rows}))
     return path
 
 
-def lines(path: Path) -> dict[tuple[str, str], capacity.Line]:
-    made = load_config(SIZE, capacity.Outlook, capacity.impossible)
-    page = capacity.Page(made, capacity.Slopes(path)).lines()
-    return {(line.role, line.what): line for line in page}
+def requirements(path: Path) -> dict[tuple[str, str], Requirement]:
+    lines = capacity.requirements(load_fleet_plan(SIZE), MeasuredSlopes(path))
+    return {(line.role, line.what): line for line in lines}
 
 
 def test_figures_are_slopes_times_counts_beside_their_limits(tmp_path: Path) -> None:
-    found = lines(slopes(tmp_path / "s.json"))
+    found = requirements(write_slopes(tmp_path / "s.json"))
     assert found["gateway", "requests"].value == pytest.approx(100.0)
     assert found["gateway", "a decision and its outcome"].value == pytest.approx(21.0)
-    assert found["counter", "calls wished, all gateways"].value == pytest.approx(268_800.0)
-    zone = found["gateway", "a zone lost (870 servers), told at the allowed rate"]
+    assert found["counter", "calls wanted by all gateways"].value == pytest.approx(268_800.0)
+    zone = found["gateway", "a zone lost (870 servers), notified at the allowed rate"]
     assert zone.limit == 15.0
     assert zone.margin == pytest.approx(15.0 / zone.value)
 
 
-def test_what_does_not_fit_names_no_mechanism(tmp_path: Path) -> None:
-    for line in lines(slopes(tmp_path / "s.json")).values():
+def test_a_requirement_beyond_its_limit_names_no_mechanism(tmp_path: Path) -> None:
+    for line in requirements(write_slopes(tmp_path / "s.json")).values():
         if line.role == "counter":
             assert line.margin is not None
             assert line.margin < 1.0
-            assert line.carried.startswith("missing")
+            assert line.mechanism.startswith("missing")
 
 
 def run(*arguments: str) -> subprocess.CompletedProcess[str]:
@@ -87,7 +64,7 @@
 
 
 def bad_inputs(folder: Path) -> list[tuple[Path, Path, str]]:
-    good, text = slopes(folder / "s.json"), SIZE.read_text()
+    good, text = write_slopes(folder / "s.json"), SIZE.read_text()
     cases: list[tuple[Path, Path, str]] = [(folder / "none.toml", good, "none.toml")]
     changes: dict[str, Any] = {
         "size.zones": ("zones = 23", "zones = 3"),
@@ -106,17 +83,17 @@
 
 
 def test_bad_input_is_one_line_and_nothing_is_written(tmp_path: Path) -> None:
-    for size, measured, told in bad_inputs(tmp_path):
+    for size, measured, expected in bad_inputs(tmp_path):
         out = tmp_path / "out.json"
         done = run(str(size), str(measured), "--out", str(out))
         assert (done.returncode, done.stdout, out.exists()) == (2, "", False)
         assert done.stderr.count("\n") == 1
-        assert told in done.stderr
+        assert expected in done.stderr
 
 
 def test_the_command_prints_the_table_and_writes_the_result(tmp_path: Path) -> None:
     out = tmp_path / "out.json"
-    done = run(str(SIZE), str(slopes(tmp_path / "s.json")), "--out", str(out))
+    done = run(str(SIZE), str(write_slopes(tmp_path / "s.json")), "--out", str(out))
     assert done.returncode == 0
-    assert "| role | what | figure | limit | fits | carried by |" in done.stdout
+    assert "| role | what | figure | limit | fits | provided by |" in done.stdout
     assert len(json.loads(out.read_text())["lines"]) == done.stdout.count("\n| ") - 2  # its head
