--- a/quota_gateway/lab/scaling/control_plane_requirements.py
+++ b/quota_gateway/lab/scaling/control_plane_requirements.py
@@ -6,7 +6,7 @@
 from quota_gateway.lab.scaling.gateway_requirements import GATEWAY
 from quota_gateway.lab.scaling.requirement import Requirement
 from quota_gateway.lab.scaling.slope_names import SlopeName
-from quota_gateway.network.discovery.watch import WAIT_S
+from quota_gateway.network.discovery.poll_schedule import LONG_POLL_S
 
 COUNTER = "counter"
 DISCOVERY = "discovery"
@@ -52,13 +52,13 @@
 
 def _watches(load: FleetLoad) -> list[Requirement]:
     size, limits = load.plan.size, load.plan.limits
-    idle = load.slopes.at(SlopeName.IDLE_WATCH_BYTES, 1) + ROUND_TRIP_HEADER_BYTES / WAIT_S
+    idle = load.slopes.at(SlopeName.IDLE_WATCH_BYTES, 1) + ROUND_TRIP_HEADER_BYTES / LONG_POLL_S
     in_release = idle + load.change_bytes(load.release_changes_per_s)
     return [
         Requirement(
             DISCOVERY,
             "idle watches of all gateways",
-            size.gateways / WAIT_S,
+            size.gateways / LONG_POLL_S,
             "/s",
             None,
             "long polls by one agent a machine",
--- a/quota_gateway/lab/scaling/network_costs.py
+++ b/quota_gateway/lab/scaling/network_costs.py
@@ -16,7 +16,8 @@
 from quota_gateway.lab.simulation.wire_sizes import HTTP_HEADER_BYTES, call_get, endpoint_list
 from quota_gateway.network import resp
 from quota_gateway.network.commands import CommandParser, RequestLimits
-from quota_gateway.network.discovery.watch import WAIT_S, Exchange
+from quota_gateway.network.discovery.http_connection import HttpConnection
+from quota_gateway.network.discovery.poll_schedule import LONG_POLL_S
 from quota_gateway.policy.gateway import stable
 
 CHANGE_COUNTS = (1, 10, 100)
@@ -42,9 +43,9 @@
 
 def watch_request() -> bytes:
     """Return a watch's HTTP request, as the network code writes it."""
-    transport, exchange = RecordingTransport(), Exchange(lambda *_: None, lambda: None)
-    exchange.connection_made(transport)
-    exchange.get("10.2.0.1:8500", f"/v1/servers?since={LIST_VERSION}&timeout_ms={WAIT_S * 1000.0:.0f}")
+    transport, connection = RecordingTransport(), HttpConnection(lambda *_: None, lambda: None)
+    connection.connection_made(transport)
+    connection.get("10.2.0.1:8500", f"/v1/servers?since={LIST_VERSION}&timeout_ms={LONG_POLL_S * 1000.0:.0f}")
     return transport.data
 
 
@@ -59,9 +60,10 @@
 def _watch_sizes() -> list[Slope]:
     request = len(watch_request())
     calls = Slope(SlopeName.IDLE_WATCH_CALLS, "calls/s", "gateways")
-    calls.add(1, [1.0 / WAIT_S])
+    calls.add(1, [1.0 / LONG_POLL_S])
     idle = Slope(SlopeName.IDLE_WATCH_BYTES, "bytes/s", "gateways")
-    idle.add(1, [(request + HTTP_HEADER_BYTES + len(endpoint_list((), LIST_VERSION, full=False))) / WAIT_S])
+    empty = len(endpoint_list((), LIST_VERSION, full=False))
+    idle.add(1, [(request + HTTP_HEADER_BYTES + empty) / LONG_POLL_S])
     update = Slope(SlopeName.UPDATE_BYTES, "bytes", "changes")
     for count in CHANGE_COUNTS:
         body = endpoint_list(endpoint_records(count), LIST_VERSION, full=False)
--- a/quota_gateway/lab/scaling/policy_costs.py
+++ b/quota_gateway/lab/scaling/policy_costs.py
@@ -21,7 +21,7 @@
 from quota_gateway.lab.scaling.slope import MILLISECONDS, Slope, processor_time_ms
 from quota_gateway.lab.scaling.slope_names import SlopeName
 from quota_gateway.lab.simulation.wire_sizes import endpoint_list
-from quota_gateway.network.discovery.watch import read_list
+from quota_gateway.network.discovery.endpoint_list import parse_endpoint_list
 from quota_gateway.policy.gateway import Gateway
 
 CUSTOMER = "00000000b4d65521"
@@ -102,7 +102,7 @@
         tracemalloc.start()
         policy = Gateway(SETTINGS, POLICY_SEED)
         before = tracemalloc.get_traced_memory()[0]
-        policy.handle(START_MS, read_list(json.loads(body)).event)
+        policy.handle(START_MS, parse_endpoint_list(json.loads(body)).update)
         gc.collect()
         slope.add(count, [float(tracemalloc.get_traced_memory()[0] - before)])
         tracemalloc.stop()
--- a/quota_gateway/lab/scaling/process_costs.py
+++ b/quota_gateway/lab/scaling/process_costs.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from quota_gateway.lab.fakes import DiscoveryStandIn
-from quota_gateway.lab.load import deployment
+from quota_gateway.lab.fakes.discovery import FakeDiscovery
+from quota_gateway.lab.load.deployment import gateway_settings
 from quota_gateway.lab.load.gateway_process import GatewayProcess
 from quota_gateway.lab.scaling.scripted_gateway import GATEWAYS, POLICY_SEED, endpoint_records
 from quota_gateway.lab.scaling.slope import MILLISECONDS, Slope
@@ -20,7 +20,7 @@
 from quota_gateway.lab.simulation.wire_sizes import endpoint_list
 
 SETTLE_S = 0.3  # between a gateway's first answer and the reading of its memory
-BYTES_PER_MB = 2.0**20
+BYTES_PER_MIB = 2.0**20
 PRINT_RESIDENT_BYTES = """
 import os, resource
 import quota_gateway.network.__main__
@@ -61,7 +61,7 @@
 
 async def _run_process(count: int, folder: Path) -> ProcessCost:
     """Run a real gateway to its first answer, with a cached list to which discovery has no changes."""
-    discovery = DiscoveryStandIn()
+    discovery = FakeDiscovery()
     await discovery.start()
     process = GatewayProcess("gateway", folder)
     try:
@@ -69,17 +69,17 @@
             {
                 "discovery": discovery.address,
                 "seed": f"{POLICY_SEED:016x}",
-                "settings": deployment.settings(GATEWAYS),
+                "settings": gateway_settings(GATEWAYS),
                 "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 1024},
                 "known": json.loads(endpoint_list(endpoint_records(count), discovery.version, full=True)),
             }
         )
-        await process.ready()
-        processor_s = process.processor_s()
+        await process.wait_until_ready()
+        processor_s = process.cpu_time_s()
         await asyncio.sleep(SETTLE_S)
-        resident_mb = process.memory_mb()
+        resident_mib = process.peak_memory_mib()
     finally:
         process.terminate()
-        await process.ended()
+        await process.wait_for_exit()
         await discovery.stop()
-    return ProcessCost(1000.0 * (processor_s or 0.0), (resident_mb or 0.0) * BYTES_PER_MB)
+    return ProcessCost(1000.0 * (processor_s or 0.0), (resident_mib or 0.0) * BYTES_PER_MIB)
--- a/quota_gateway/network/bridge.py
+++ b/quota_gateway/network/bridge.py
@@ -20,7 +20,7 @@
 from quota_gateway.network.clock import Clock
 from quota_gateway.network.commands import RequestCommand
 from quota_gateway.network.counter_client import Counter
-from quota_gateway.network.discovery.watch import News
+from quota_gateway.network.discovery.endpoint_list import VersionedUpdate
 from quota_gateway.network.load_report import parse_load_report
 from quota_gateway.network.log_setup import EventMessage, log_event
 from quota_gateway.network.server_pool import ServerPools
@@ -243,13 +243,13 @@
 
     # --- endpoints ---------------------------------------------------------------------------------------
 
-    def endpoint_update_steps(self, news: News) -> Iterator[None]:
+    def endpoint_update_steps(self, update: VersionedUpdate) -> Iterator[None]:
         """Apply an endpoint update step by step; other work may be done between the steps.
 
         A long snapshot is split, endpoints that are gone or draining first.
         """
-        for update in split_update(news.event, list(self.server_pools.pools)):
-            self._apply_endpoint_update(update, news.addresses)
+        for part in split_update(update.update, list(self.server_pools.pools)):
+            self._apply_endpoint_update(part, update.addresses)
             yield
 
     def _apply_endpoint_update(self, update: EndpointUpdate, addresses: dict[str, Address]) -> None:
--- a/tests/lab/test_file_compatibility.py
+++ b/tests/lab/test_file_compatibility.py
@@ -1,8 +1,10 @@
 """Experiment and result files of before are still read.
 
-The files in `fixtures` were made by the last version before the code was renamed: `experiment.toml` holds nearly
-every key of an experiment, `run.json` and `seeds.json` its results with one seed and with two, `slopes.json` a
-result of `lab slopes`, `capacity.json` the capacity page from these slopes.
+The files in `fixtures` were made by the last version before the code was renamed:
+
+- `experiment.toml`: nearly all keys of an experiment;
+- `run.json`, `seeds.json`: its results with one seed and with two;
+- `slopes.json`: a result of `lab slopes`; `capacity.json`: the capacity page from these slopes.
 """
 
 from __future__ import annotations
