--- a/quota_gateway/network/bridge.py
+++ b/quota_gateway/network/bridge.py
@@ -243,13 +243,13 @@
 
     # --- endpoints ---------------------------------------------------------------------------------------
 
-    def endpoint_update_steps(self, update: VersionedUpdate) -> Iterator[None]:
+    def endpoint_update_steps(self, versioned: VersionedUpdate) -> Iterator[None]:
         """Apply an endpoint update step by step; other work may be done between the steps.
 
         A long snapshot is split, endpoints that are gone or draining first.
         """
-        for part in split_update(update.update, list(self.server_pools.pools)):
-            self._apply_endpoint_update(part, update.addresses)
+        for part in split_update(versioned.update, list(self.server_pools.pools)):
+            self._apply_endpoint_update(part, versioned.addresses)
             yield
 
     def _apply_endpoint_update(self, update: EndpointUpdate, addresses: dict[str, Address]) -> None:
--- a/tests/network/harness.py
+++ b/tests/network/harness.py
@@ -1,6 +1,6 @@
-"""Peers on loopback sockets for the gateway's tests: scripted servers, counter, discovery and client.
+"""A gateway under test on loopback sockets, with fake servers, counter, discovery and client.
 
-They model nothing: each does what a test tells it to. Waits are for conditions, never for a time to pass.
+The fakes do just what a test tells them to. Waits are for conditions, never for a time to pass.
 """
 
 from __future__ import annotations
@@ -66,18 +66,18 @@
 
 
 def run_scenario(scenario: Coroutine[Any, Any, None]) -> None:
-    """Runs a scenario; the limit only keeps a broken test from hanging."""
+    """Run a scenario on uvloop, as the gateway does; the time-out only keeps a broken test from hanging."""
     uvloop.run(asyncio.wait_for(scenario, 60.0))
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Waits until something holds."""
+    """Wait until a condition holds."""
     while not condition():
         await asyncio.sleep(0.002)
 
 
 class FakeServer:
-    """A TCP server on a free port; `script` gets each connection."""
+    """A TCP server on loopback; subclasses implement `serve`, which handles one connection."""
 
     def __init__(self) -> None:
         self.server: asyncio.Server | None = None
@@ -108,7 +108,7 @@
 
 
 async def read_commands(reader: asyncio.StreamReader) -> AsyncIterator[list[bytes]]:
-    """The commands that come on a connection."""
+    """Iterate over the commands received on a connection."""
     parser = hiredis.Reader()
     while data := await reader.read(65536):
         parser.feed(data)
@@ -120,7 +120,10 @@
 
 
 class FakeRespServer(FakeServer):
-    """Answers each command with what `reply` returns; None leaves it unanswered. `log` keeps the order."""
+    """Answers each command with what `reply` returns; None leaves it unanswered.
+
+    `log` holds "command" and "closed" events in order, each with the number of its connection, from 1.
+    """
 
     def __init__(self, reply: Reply) -> None:
         super().__init__()
@@ -139,21 +142,21 @@
             self.log.append(("closed", number, []))
 
     def received_commands(self) -> list[list[bytes]]:
-        """The commands that came, pings left out."""
+        """Return the commands received, without pings."""
         return [words for what, _, words in self.log if what == "command" and words != [b"PING"]]
 
 
 def always_reply(reply: bytes | None) -> Reply:
-    """The same reply to everything."""
+    """Reply the same to every command."""
 
-    async def answer(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
+    async def constant_reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
         return reply
 
-    return answer
+    return constant_reply
 
 
 def reply_once_released(release: asyncio.Event) -> Reply:
-    """An OK response to everything, held back until the event is set."""
+    """Reply to every command with an OK response, once the event is set."""
 
     async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
         await release.wait()
@@ -163,21 +166,21 @@
 
 
 class FakeDiscovery(FakeServer):
-    """Discovery: `answers` are given out one for each call; when they run out, calls are left waiting."""
+    """Discovery: each request gets the next of `responses`, or waits until a test appends it."""
 
-    def __init__(self, *answers: bytes) -> None:
+    def __init__(self, *responses: bytes) -> None:
         super().__init__()
-        self.answers = list(answers)
+        self.responses = list(responses)
         self.targets: list[str] = []
-        self.times: list[float] = []  # when these calls came
+        self.request_times: list[float] = []  # of the loop
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while head := await reader.readuntil(b"\r\n\r\n"):
             self.targets.append(head.split(b" ")[1].decode())
-            self.times.append(asyncio.get_running_loop().time())
+            self.request_times.append(asyncio.get_running_loop().time())
             number = len(self.targets) - 1
-            await wait_until(lambda: len(self.answers) > number)  # noqa: B023
-            writer.write(self.answers[number])
+            await wait_until(lambda: len(self.responses) > number)  # noqa: B023  # awaited in this iteration
+            writer.write(self.responses[number])
 
 
 def http_response(body: bytes, status: str = "200 OK") -> bytes:
@@ -202,7 +205,7 @@
 
 
 class RespClient:
-    """A client connection."""
+    """A client's connection to a RESP server."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -216,20 +219,20 @@
         self.writer.write(hiredis.pack_command(words))  # type: ignore[arg-type]
 
     async def read_reply(self) -> Any:
-        """The next reply; None at the end of the connection."""
-        while (found := self.parser.gets()) is False:
+        """Return the next reply; None at the end of the stream."""
+        while (reply := self.parser.gets()) is False:
             data = await self.reader.read(65536)
             if not data:
                 return None
             self.parser.feed(data)
-        return found
+        return reply
 
     async def execute(self, *words: bytes) -> Any:
         self.send(*words)
         return await self.read_reply()
 
     async def closed_by_gateway(self) -> bool:
-        """Whether the gateway closed the connection, with nothing more on it."""
+        """Tell whether the gateway closes the connection without sending anything more."""
         try:
             return not await self.reader.read(1)
         except ConnectionError:
@@ -237,7 +240,7 @@
 
 
 class ScriptedPolicy:
-    """Decisions made by a test: `decide` turns each event into actions. All events are kept."""
+    """A policy made by a test: `decide` turns each event into actions. All events are kept."""
 
     def __init__(self, decide: Callable[[Event], list[Action]]) -> None:
         self.decide = decide
@@ -245,7 +248,7 @@
         self.inside = False
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        assert not self.inside, "the module was called from within a call"
+        assert not self.inside, "the policy was called from within a call"
         self.inside = True
         self.events.append(event)
         actions = self.decide(event)
@@ -257,7 +260,7 @@
 
 
 def forward_to(server: str, timeout_ms: float = 0.0) -> Callable[[Event], list[Action]]:
-    """Sends each request once; what was not served fails."""
+    """Decide to send each request once to one server, and to fail it if that does not succeed."""
 
     def decide(event: Event) -> list[Action]:
         if isinstance(event, Request):
@@ -270,42 +273,42 @@
 
 
 def forwarding_policy(server: str = "s0") -> ScriptedPolicy:
-    """A policy that sends each request once to one server."""
+    """Return a policy that sends each request once to one server."""
     return ScriptedPolicy(forward_to(server))
 
 
 class RunningGateway:
-    """A gateway with its peers."""
+    """A gateway with its fake peers."""
 
     def __init__(
-        self, program: GatewayProcess, servers: list[FakeRespServer], counter: FakeRespServer
+        self, process: GatewayProcess, servers: list[FakeRespServer], counter: FakeRespServer
     ) -> None:
-        self.program, self.servers, self.counter = program, servers, counter
+        self.process, self.servers, self.counter = process, servers, counter
 
     @property
     def port(self) -> int:
-        server = self.program.listener.server
+        server = self.process.listener.server
         assert server is not None
         return int(server.sockets[0].getsockname()[1])
 
     @property
     def listener(self) -> Listener:
-        return self.program.listener
+        return self.process.listener
 
     @property
     def bridge(self) -> PolicyBridge:
-        return self.program.bridge
+        return self.process.bridge
 
     @property
     def server_pools(self) -> ServerPools:
-        return self.program.server_pools
+        return self.process.server_pools
 
     async def connect_client(self) -> RespClient:
         return await RespClient.connect(self.port)
 
 
 def raw_config(discovery: int, counter: int, rows: list[dict[str, Any]], listen: int = 1) -> dict[str, Any]:
-    """A configuration as the platform writes it."""
+    """Return a configuration as the platform writes it."""
     return {
         "name": "n0",
         "listen": f"127.0.0.1:{listen}",
@@ -319,9 +322,9 @@
 
 
 def gateway_config(discovery: int, counter: int, rows: list[dict[str, Any]], **changes: Any) -> GatewayConfig:
-    """The same, read; the gateway listens on a free port."""
-    made = decode_config(raw_config(discovery, counter, rows), {})
-    return replace(made, listen_address=("127.0.0.1", 0), **changes)
+    """Return the same, decoded, with changes; the gateway listens on a free port."""
+    decoded = decode_config(raw_config(discovery, counter, rows), {})
+    return replace(decoded, listen_address=("127.0.0.1", 0), **changes)
 
 
 @asynccontextmanager
@@ -332,10 +335,13 @@
     discovery: FakeDiscovery | None = None,
     **changes: Any,
 ) -> AsyncIterator[RunningGateway]:
-    """A gateway that serves, with one server s0, s1, ... for each reply."""
+    """Run a gateway that is ready, with servers s0, s1, ..., one for each reply.
+
+    `changes` are fields of `GatewayConfig`.
+    """
     totals: dict[bytes, float] = {}
 
-    async def add(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+    async def increment(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
         if words[0] == b"PING":
             return b"+PONG\r\n"
         totals[words[1]] = totals.get(words[1], 0.0) + float(words[2])
@@ -343,23 +349,22 @@
         return b"$%d\r\n%b\r\n" % (len(text), text)
 
     servers = [FakeRespServer(reply) for reply in replies]
-    counts = FakeRespServer(counter or add)
-    for peer in (*servers, counts):
+    counter_server = FakeRespServer(counter or increment)
+    for peer in (*servers, counter_server):
         await peer.start()
     rows = [server_row(f"s{i}", peer.port) for i, peer in enumerate(servers)]
     discovery = discovery or FakeDiscovery(endpoint_list_response(1, rows))
     await discovery.start()
-    made = gateway_config(discovery.port, counts.port, rows, **changes)
-    program = GatewayProcess(made, asyncio.get_running_loop(), policy)
-    await program.start()
-    if program.counter is not None:
-        await wait_until(
-            lambda: program.counter is None or all(each.is_ready() for each in program.counter.connections)
-        )
+    config = gateway_config(discovery.port, counter_server.port, rows, **changes)
+    process = GatewayProcess(config, asyncio.get_running_loop(), policy)
+    await process.start()
+    if process.counter is not None:
+        connections = process.counter.connections
+        await wait_until(lambda: all(connection.is_ready() for connection in connections))
     try:
-        yield RunningGateway(program, servers, counts)
+        yield RunningGateway(process, servers, counter_server)
     finally:
-        await program.close()
-        peers: list[FakeServer] = [*servers, counts, discovery]
-        for each in peers:
-            await each.stop()
+        await process.close()
+        peers: list[FakeServer] = [*servers, counter_server, discovery]
+        for fake in peers:
+            await fake.stop()
--- a/tests/network/test_attempt.py
+++ b/tests/network/test_attempt.py
@@ -38,12 +38,12 @@
             decide, pool = script.decide, gateway.server_pools.pools["s0"]
 
             def end_grace() -> None:
-                pool.write_deadline = gateway.program.loop.time() - 1.0
+                pool.write_deadline = gateway.process.loop.time() - 1.0
 
             def drain_and_decide(event: Event) -> list[Action]:
                 if isinstance(event, Request):
                     pool.drain()  # within its grace as the attempt starts, past it when the connection is up
-                    gateway.program.loop.call_soon(end_grace)
+                    gateway.process.loop.call_soon(end_grace)
                 return decide(event)
 
             script.decide = drain_and_decide
--- a/tests/network/test_discovery_watch.py
+++ b/tests/network/test_discovery_watch.py
@@ -183,15 +183,16 @@
         rows = [server_row("s0", 80), server_row("s9", 81)]
         discovery = FakeDiscovery(endpoint_list_response(4, rows))
         script = ScriptedPolicy(lambda event: [])
-        async with running_gateway(policy=script, discovery=discovery) as one:
-            await wait_until(lambda: len(discovery.targets) == 2 and "s9" in one.program.server_pools.pools)
+        async with running_gateway(policy=script, discovery=discovery) as gateway:
+            await wait_until(lambda: len(discovery.targets) == 2 and "s9" in gateway.server_pools.pools)
             drained = [rows[0], server_row("s9", 81, "Terminating")]
-            discovery.answers += [response, endpoint_list_response(5, drained)]
+            discovery.responses += [response, endpoint_list_response(5, drained)]
             if response is TRUNCATED:
-                await wait_until(lambda: one.program.endpoint_watch.connection.status == 200)  # type: ignore[union-attr]
+                await wait_until(lambda: gateway.process.endpoint_watch.connection.status == 200)  # type: ignore[union-attr]
                 discovery.writers[-1].transport.abort()
-            await wait_until(lambda: one.program.server_pools.pools["s9"].write_deadline is not None)
-            assert discovery.times[2] - discovery.times[1] < 2 * DRAIN_GRACE_S  # a watch and a pause
+            await wait_until(lambda: gateway.server_pools.pools["s9"].write_deadline is not None)
+            # A watch and a pause.
+            assert discovery.request_times[2] - discovery.request_times[1] < 2 * DRAIN_GRACE_S
 
     run_scenario(scenario())
 
@@ -221,7 +222,7 @@
             await wait_until(lambda: len(discovery.targets) == 3)
             discovery.writers[-1].transport.abort()
             await wait_until(lambda: len(discovery.targets) == 4)
-            discovery.answers += [b"", endpoint_list_response(5, [server_row("c", 82)], full=False)]
+            discovery.responses += [b"", endpoint_list_response(5, [server_row("c", 82)], full=False)]
             await wait_until(lambda: len(script.events_of(EndpointUpdate)) == 3)
         since = [target.partition("since=")[2].partition("&")[0] for target in discovery.targets]
         assert since[:4] == ["1", "4", "4", "4"]
@@ -274,9 +275,9 @@
 def test_discovery_that_is_down_keeps_no_gateway_from_serving() -> None:
     async def scenario() -> None:
         discovery = FakeDiscovery(endpoint_list_response(1, []))
-        discovery.answers.clear()
-        async with running_gateway(always_reply(OK_RESPONSE), discovery=discovery) as one:
-            client = await one.connect_client()
+        discovery.responses.clear()
+        async with running_gateway(always_reply(OK_RESPONSE), discovery=discovery) as gateway:
+            client = await gateway.connect_client()
             assert await client.execute(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS) == b"value"
 
     run_scenario(scenario())
@@ -287,14 +288,14 @@
         old, new = FakeDiscovery(endpoint_list_response(9, [server_row("a", 80)])), FakeDiscovery()
         await new.start()
         script = ScriptedPolicy(lambda event: [])
-        async with running_gateway(policy=script, discovery=old) as one:
+        async with running_gateway(policy=script, discovery=old) as gateway:
             await wait_until(lambda: len(old.targets) == 2)
-            one.program.endpoint_watch.move_to(("127.0.0.1", new.port))
-            old.answers.append(endpoint_list_response(10, [], full=True))
+            gateway.process.endpoint_watch.move_to(("127.0.0.1", new.port))
+            old.responses.append(endpoint_list_response(10, [], full=True))
             await wait_until(lambda: new.targets)
-            assert list(one.program.server_pools.pools) == ["a"]  # kept until the new list comes
-            new.answers.append(endpoint_list_response(2, [server_row("b", 81)]))
-            await wait_until(lambda: list(one.program.server_pools.pools) == ["b"])
+            assert list(gateway.server_pools.pools) == ["a"]  # kept until the new list comes
+            new.responses.append(endpoint_list_response(2, [server_row("b", 81)]))
+            await wait_until(lambda: list(gateway.server_pools.pools) == ["b"])
             assert new.targets[0] == "/v1/servers"
         await new.stop()
 
--- a/tests/network/test_endpoint_list.py
+++ b/tests/network/test_endpoint_list.py
@@ -102,10 +102,10 @@
         assert len(body) > INCREMENTAL_PARSE_MIN_BYTES
         discovery = FakeDiscovery()
         script = ScriptedPolicy(forward_to("s0"))
-        async with running_gateway(always_reply(OK_RESPONSE), policy=script, discovery=discovery) as one:
-            many[-1] = server_row("s0", one.servers[0].port)
-            client = await one.connect_client()
-            server_pools, iterations, served = one.program.server_pools, 0, []
+        async with running_gateway(always_reply(OK_RESPONSE), policy=script, discovery=discovery) as gateway:
+            many[-1] = server_row("s0", gateway.servers[0].port)
+            client = await gateway.connect_client()
+            server_pools, iterations, served = gateway.server_pools, 0, []
 
             async def count_iterations() -> None:
                 nonlocal iterations
@@ -122,7 +122,7 @@
             tasks = [asyncio.ensure_future(count_iterations()), asyncio.ensure_future(send_requests())]
             await wait_until(lambda: served)
             before = iterations
-            discovery.answers.append(
+            discovery.responses.append(
                 http_response(json.dumps({"version": 9, "full": True, "servers": many}).encode())
             )
             active = sum(server["state"] == "Ready" for server in many)
--- a/tests/network/test_graceful_shutdown.py
+++ b/tests/network/test_graceful_shutdown.py
@@ -32,7 +32,7 @@
                 )
             )
             server = gateway.listener.server
-            shutdown = asyncio.ensure_future(gateway.program.shut_down())
+            shutdown = asyncio.ensure_future(gateway.process.shut_down())
             await wait_until(lambda: server is not None and not server.is_serving())
             # Behind a request in flight, and as the first on a connection that was open before.
             client.send(b"CALL.GET", CUSTOMER, b"2", READ_FIELDS)
--- a/tests/network/test_process.py
+++ b/tests/network/test_process.py
@@ -63,7 +63,7 @@
         for peer in (server, counts, discovery):
             await peer.start()
         rows = [server_row("s0", server.port)]
-        discovery.answers.append(endpoint_list_response(1, rows))
+        discovery.responses.append(endpoint_list_response(1, rows))
         holder = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
         listen = int(holder.sockets[0].getsockname()[1])
         holder.close()
--- a/tests/network/test_server_pool.py
+++ b/tests/network/test_server_pool.py
@@ -71,8 +71,10 @@
             port = gateway.servers[0].port
             client = await gateway.connect_client()
             assert await client.execute(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS) == b"value"
-            discovery.answers.append(endpoint_list_response(1, [server_row("s0", port)]))
-            discovery.answers.append(endpoint_list_response(2, [server_row("s0", port, "Gone")], full=False))
+            discovery.responses.append(endpoint_list_response(1, [server_row("s0", port)]))
+            discovery.responses.append(
+                endpoint_list_response(2, [server_row("s0", port, "Gone")], full=False)
+            )
             await wait_until(lambda: ("closed", 1, []) in gateway.servers[0].log)
             assert str(await client.execute(b"CALL.GET", CUSTOMER, b"2", READ_FIELDS)) == "ERR failed"
             assert script.events_of(AttemptCompleted)[-1].outcome is CallOutcome.UNREACHABLE
