--- a/quota_gateway/lab/cli/load.py
+++ b/quota_gateway/lab/cli/load.py
@@ -21,7 +21,7 @@
     servers: Annotated[int, typer.Option(help="Fake servers.")] = 20,
     rate: Annotated[float, typer.Option(help="Requests a second, over all gateways.")] = 200.0,
     seconds: Annotated[float, typer.Option(help="How long the load lasts.")] = 10.0,
-    beyond: Annotated[float, typer.Option(help="Share of customers beyond their quota.")] = 0.0,
+    beyond: Annotated[float, typer.Option(help="Share of customers over their quota.")] = 0.0,
     service_ms: Annotated[float, typer.Option(help="Mean time of a request of one unit at a server.")] = 5.0,
     cores: Annotated[int, typer.Option(help="Cores of a server.")] = 2,
     seed: Annotated[int, typer.Option(help="Everything random is drawn from it.")] = 1,
--- a/quota_gateway/lab/fakes/faults.py
+++ b/quota_gateway/lab/fakes/faults.py
@@ -1,7 +1,7 @@
 """Faults that can be injected into a fake.
 
 A fault is plain data, so that a load test can read it from its command line, activate it at a given time and
-print it. Each fake names the kinds that it can show; any other kind is refused when it is injected, not when
+print it. Each fake names the kinds that it can show; any other kind is rejected when it is injected, not when
 a call would meet it.
 """
 
--- a/quota_gateway/lab/load/quota_audit.py
+++ b/quota_gateway/lab/load/quota_audit.py
@@ -2,7 +2,7 @@
 
 The rules of WIRE, section 8 (`packages`): a customer's token bucket starts full, holds `most_at_once` units
 and fills by `per_second`. A request takes its units when its first attempt has reached a server, and is
-within quota if the bucket held them then; one that is forwarded beyond the quota takes nothing. No gateway
+within quota if the bucket held them then; one that is forwarded over quota takes nothing. No gateway
 can know the bucket's level of the moment, so some rejections within quota are unavoidable; their number tells
 gateways apart.
 """
@@ -20,7 +20,8 @@
 from quota_gateway.lab.load.request_record import RequestOutcome, RequestRecord
 
 REJECTED_OUTCOMES = (RequestOutcome.REJECTED_WITH_RETRY_AFTER, RequestOutcome.REJECTED)
-HALF_FULL = 0.5  # level over burst: BENCH, `refused_with_room_share`
+# BENCH, `refused_with_room_share`: a rejection is unnecessary from this level over burst.
+UNUSED_BURST_SHARE = 0.5
 
 
 @dataclass(slots=True)
@@ -45,17 +46,15 @@
     """
 
     forwarded_within_quota: int = msgspec.field(name="inside", default=0)
-    forwarded_beyond_quota: int = msgspec.field(name="beyond", default=0)
+    forwarded_over_quota: int = msgspec.field(name="beyond", default=0)
     rejected_within_quota: int = msgspec.field(name="refused_with_room", default=0)
     rejected: int = msgspec.field(name="refused", default=0)  # all of them
-    rejected_at_half_full: int = msgspec.field(
-        name="refused_half_full", default=0
-    )  # ... or more, within quota
+    rejected_unnecessarily: int = msgspec.field(name="refused_half_full", default=0)  # much was unused
 
     @property
     def forwarded(self) -> int:
         """Requests that reached a server."""
-        return self.forwarded_within_quota + self.forwarded_beyond_quota
+        return self.forwarded_within_quota + self.forwarded_over_quota
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,12 +90,13 @@
     if not forwarded:
         audit.rejected += 1
         audit.rejected_within_quota += within_quota
-        audit.rejected_at_half_full += within_quota and bucket.level >= HALF_FULL * bucket.plan.burst
+        unused = bucket.level >= UNUSED_BURST_SHARE * bucket.plan.burst
+        audit.rejected_unnecessarily += within_quota and unused
     elif within_quota:
         audit.forwarded_within_quota += 1
         bucket.level -= units
     else:
-        audit.forwarded_beyond_quota += 1
+        audit.forwarded_over_quota += 1
 
 
 def _decisions(records: Iterable[RequestRecord], attempt_log: AttemptLog) -> Iterable[_Decision]:
--- a/quota_gateway/lab/load/report.py
+++ b/quota_gateway/lab/load/report.py
@@ -80,7 +80,7 @@
     """Return one line on how the quotas were kept."""
     audit = result.quota_audit
     return (
-        f"Forwarded: {audit.forwarded} ({audit.forwarded_beyond_quota} beyond quota). "
+        f"Forwarded: {audit.forwarded} ({audit.forwarded_over_quota} over quota). "
         f"Rejected: {audit.rejected} ({audit.rejected_within_quota} within quota)."
     )
 
--- a/quota_gateway/lab/load/schedule.py
+++ b/quota_gateway/lab/load/schedule.py
@@ -25,7 +25,7 @@
 UNIT_CHOICES = (1, 1, 1, 2)  # drawn evenly
 MEAN_UNITS = sum(UNIT_CHOICES) / len(UNIT_CHOICES)
 DEMAND_WITHIN_QUOTA = 0.5  # demand over quota of most customers
-DEMAND_BEYOND_QUOTA = 3.0  # of those that ask for more than their quota
+DEMAND_OVER_QUOTA = 3.0  # of those that ask for more than their quota
 MAX_GATEWAYS_PER_CUSTOMER = 3
 CUSTOMER_ID_LIMIT = 1 << 33  # PROTOCOL, "Clients to gateways"
 MIN_CUSTOMER_RATE = 1e-6  # keeps the sum of the rates moving towards the rate asked for
@@ -46,7 +46,7 @@
     rate: float  # requests a second over all gateways
     duration_s: float
     seed: int = 1
-    beyond_quota_share: float = 0.25  # of the customers, those that ask for more than their quota
+    over_quota_share: float = 0.25  # of the customers, those that ask for more than their quota
 
     def __post_init__(self) -> None:
         if not (math.isfinite(self.duration_s) and 0.0 < self.duration_s <= MAX_DURATION_S):
@@ -59,9 +59,9 @@
             raise LoadSpecError(f"{self.rate * self.duration_s:.0f} requests are more than {MAX_REQUESTS}")
         if self.seed < 0:
             raise LoadSpecError(f"the seed must be at least 0, not {self.seed}")
-        if not 0.0 <= self.beyond_quota_share <= 1.0:
+        if not 0.0 <= self.over_quota_share <= 1.0:
             raise LoadSpecError(
-                f"the share of customers beyond their quota must be 0 to 1, not {self.beyond_quota_share:g}"
+                f"the share of customers over their quota must be 0 to 1, not {self.over_quota_share:g}"
             )
 
 
@@ -98,8 +98,8 @@
     remaining_rate = spec.rate
     while remaining_rate > 0.0:
         plan = rng.choice(deployment.plans)
-        beyond_quota = _is_beyond_quota(len(customers), spec.beyond_quota_share)
-        demand = DEMAND_BEYOND_QUOTA if beyond_quota else DEMAND_WITHIN_QUOTA
+        over_quota = _is_over_quota(len(customers), spec.over_quota_share)
+        demand = DEMAND_OVER_QUOTA if over_quota else DEMAND_WITHIN_QUOTA
         rate = min(remaining_rate, demand * (plan.rate or 1.0) / MEAN_UNITS)
         customer_id = b"%016x" % rng.randrange(CUSTOMER_ID_LIMIT)
         first_gateway = rng.randrange(deployment.gateway_count)
@@ -108,7 +108,7 @@
     return customers
 
 
-def _is_beyond_quota(index: int, share: float) -> bool:
+def _is_over_quota(index: int, share: float) -> bool:
     """Whether the customer of this index is one of the share, which is spread evenly over the indexes."""
     return int((index + 1) * share + 0.5) > int(index * share + 0.5)
 
--- a/tests/lab/load/test_quota_audit.py
+++ b/tests/lab/load/test_quota_audit.py
@@ -14,7 +14,7 @@
 def test_quotas_are_replayed_from_what_reached_the_servers() -> None:
     plans = [{"name": "p", "per_second": 1.0, "most_at_once": 2.0}]
     deployment = decode_deployment(gateway_settings(1) | {"packages": plans})
-    schedule = draw_schedule(deployment, LoadSpec(1.0, 7.0, beyond_quota_share=0.0))
+    schedule = draw_schedule(deployment, LoadSpec(1.0, 7.0, over_quota_share=0.0))
     attempt_log = AttemptLog()
     records = []
     # Seconds, units, and whether it was forwarded; the bucket holds 2, 0, 0.5, 1.5, 2 (its burst), 0.1 then.
@@ -29,8 +29,8 @@
         records.append(record)
     assert audit_quotas(deployment, records, attempt_log) == QuotaAudit(
         forwarded_within_quota=2,
-        forwarded_beyond_quota=2,
+        forwarded_over_quota=2,
         rejected_within_quota=1,
         rejected=2,
-        rejected_at_half_full=1,
+        rejected_unnecessarily=1,
     )
--- a/tests/lab/load/test_schedule.py
+++ b/tests/lab/load/test_schedule.py
@@ -43,7 +43,7 @@
 
 @pytest.mark.parametrize("earlier", EARLIER_SCHEDULES)
 def test_schedules_are_those_of_the_first_version(earlier: dict[str, Any]) -> None:
-    spec = LoadSpec(earlier["rate"], earlier["duration_s"], earlier["seed"], earlier["beyond_quota_share"])
+    spec = LoadSpec(earlier["rate"], earlier["duration_s"], earlier["seed"], earlier["over_quota_share"])
     schedule = draw_schedule(decode_deployment(gateway_settings(earlier["gateways"])), spec)
     digest = hashlib.sha256()
     for request in schedule:
@@ -52,15 +52,15 @@
     assert digest.hexdigest() == earlier["sha256"]
 
 
-@pytest.mark.parametrize(("beyond", "share"), [(0.0, 0.0), (0.25, 0.25), (1.0, 1.0)])
-def test_customers_ask_for_the_full_rate_and_a_share_of_them_beyond_quota(
-    beyond: float, share: float
+@pytest.mark.parametrize(("over_quota_share", "expected_share"), [(0.0, 0.0), (0.25, 0.25), (1.0, 1.0)])
+def test_customers_ask_for_the_full_rate_and_a_share_of_them_over_quota(
+    over_quota_share: float, expected_share: float
 ) -> None:
-    customers = draw_customers(DEPLOYMENT, LoadSpec(800.0, 1.0, beyond_quota_share=beyond))
+    customers = draw_customers(DEPLOYMENT, LoadSpec(800.0, 1.0, over_quota_share=over_quota_share))
     quota = {plan.name: plan.rate for plan in DEPLOYMENT.plans}
-    beyond_quota = sum(each.rate * MEAN_UNITS > quota[each.plan] for each in customers[:-1])
+    over_quota_count = sum(each.rate * MEAN_UNITS > quota[each.plan] for each in customers[:-1])
     assert sum(customer.rate for customer in customers) == pytest.approx(800.0)
-    assert beyond_quota / len(customers) == pytest.approx(share, abs=0.02)
+    assert over_quota_count / len(customers) == pytest.approx(expected_share, abs=0.02)
     assert all(len(each.customer_id) == 16 and int(each.customer_id, 16) < 1 << 33 for each in customers)
 
 
--- a/tests/lab/load/test_trial_result.py
+++ b/tests/lab/load/test_trial_result.py
@@ -102,7 +102,7 @@
     result = msgspec.json.decode((FIXTURES / "trial_result_load.json").read_bytes(), type=TrialResult)
     assert result.duration_s == 2.0
     assert result.faults == ["servers:error,share=0.1", "s0:drain,from=0.3,to=1"]
-    assert result.quota_audit.forwarded_beyond_quota == 8
+    assert result.quota_audit.forwarded_over_quota == 8
     assert result.quota_audit.rejected_within_quota == 34
     assert result.gateways[0].cpu_us_per_request == 903.2
     assert result.client_overhead_ms == {"p50": 0.413, "p90": 0.553, "p99": 2.297, "p99.9": 3.761}
