--- a/quota_gateway/lab/simulation/endpoint_watch.py
+++ b/quota_gateway/lab/simulation/endpoint_watch.py
@@ -1,7 +1,7 @@
 """A gateway's watch on the endpoint list.
 
 Its schedule (how long it waits, when it gives up and how it spreads its calls) is that of
-`quota_gateway.network.discovery.watch`, whose constants are used here.
+`quota_gateway.network.discovery.poll_schedule`, whose constants are used here.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from quota_gateway.lab.simulation.network import Location
 from quota_gateway.lab.simulation.random_streams import random_stream
 from quota_gateway.lab.simulation.scheduler import EventScheduler
-from quota_gateway.network.discovery.watch import (
-    IDLE_GAP_S,
-    MOST_TURN_S,
-    QUIET_S,
-    RECONNECT_S,
-    TURN_S,
-    WAIT_S,
+from quota_gateway.network.discovery.poll_schedule import (
+    EMPTY_RESPONSE_PAUSE_S,
+    LONG_POLL_S,
+    MAX_POLL_SPREAD_S,
+    POLL_SPACING_PER_GATEWAY_S,
+    RECONNECT_DELAY_S,
+    RESPONSE_GRACE_S,
 )
 from quota_gateway.policy_api.endpoints import EndpointUpdate, UpdateKind
 
@@ -75,23 +75,23 @@
         if update.endpoints or update.kind is UpdateKind.SNAPSHOT or self.responses == 1:
             self._on_update(update)
         self._call += 1
-        gap_ms = 0.0 if update.endpoints else 1000.0 * IDLE_GAP_S * IDLE_GAP_SHARE
+        gap_ms = 0.0 if update.endpoints else 1000.0 * EMPTY_RESPONSE_PAUSE_S * IDLE_GAP_SHARE
         self._scheduler.schedule_after(gap_ms, self._retry, self._call)
 
     def receive_overloaded(self, call: int) -> None:
         """Take a 503: the next calls of all gateways are spread over the time that they take together."""
         if call == self._call:
-            spread_s = min(MOST_TURN_S, self._gateway_count * TURN_S)
+            spread_s = min(MAX_POLL_SPREAD_S, self._gateway_count * POLL_SPACING_PER_GATEWAY_S)
             self._back_off(1000.0 * self._rng.random() * spread_s)
 
     def _send_call(self) -> None:
         self._call += 1
-        self._scheduler.schedule_after(1000.0 * (WAIT_S + QUIET_S), self._time_out, self._call)
+        self._scheduler.schedule_after(1000.0 * (LONG_POLL_S + RESPONSE_GRACE_S), self._time_out, self._call)
         self._service.call(self, self._call)
 
     def _time_out(self, call: int) -> None:
         if call == self._call:
-            self._back_off(1000.0 * RECONNECT_S * self._rng.uniform(*RECONNECT_JITTER))
+            self._back_off(1000.0 * RECONNECT_DELAY_S * self._rng.uniform(*RECONNECT_JITTER))
 
     def _back_off(self, wait_ms: float) -> None:
         self.stop()
--- a/quota_gateway/network/process.py
+++ b/quota_gateway/network/process.py
@@ -16,9 +16,10 @@
 from quota_gateway.network.bridge import Policy, PolicyBridge
 from quota_gateway.network.commands import CommandParser, RequestLimits
 from quota_gateway.network.config import ConfigError, GatewayConfig, load_config
-from quota_gateway.network.counter_client import Counter
+from quota_gateway.network.counter_client import CounterClient
 from quota_gateway.network.descriptors import allocate_descriptors
-from quota_gateway.network.discovery.watch import Discovery
+from quota_gateway.network.discovery.poll_schedule import PollSchedule
+from quota_gateway.network.discovery.watch import EndpointWatch
 from quota_gateway.network.listener import Listener
 from quota_gateway.network.log_setup import log_event
 from quota_gateway.network.server_pool import PoolLimits, ServerPools, idle_limit_s
@@ -73,22 +74,22 @@
             max_connections=descriptors.clients,
             max_refused=descriptors.spare_clients,
         )
-        callers = settings.gateway_count if settings.watch_required else 0
-        self.discovery = Discovery(
-            loop,
-            config.discovery_address,
-            self.bridge.endpoint_update_steps,
-            config.seed,
-            callers,
-            settings.gateway_index,
-        )
+        self.endpoint_watch = self._make_endpoint_watch()
         self.stop_requested = asyncio.Event()
 
-    def _make_counter(self) -> Counter | None:
+    def _make_endpoint_watch(self) -> EndpointWatch:
+        settings = self.config.settings
+        sharing_gateways = settings.gateway_count if settings.watch_required else 0
+        schedule = PollSchedule(self.loop.time, self.config.seed, sharing_gateways, settings.gateway_index)
+        return EndpointWatch(
+            self.loop, self.config.discovery_address, self.bridge.endpoint_update_steps, schedule
+        )
+
+    def _make_counter(self) -> CounterClient | None:
         address = self.config.counter_address
         if address is None:
             return None
-        return Counter(self.loop, address, self.config.settings.counter_timeout_ms / 1000.0)
+        return CounterClient(self.loop, address, self.config.settings.counter_timeout_ms / 1000.0)
 
     async def run(self, early_sighups: list[int]) -> None:
         """Serve until SIGTERM or SIGINT, then shut down.
@@ -120,8 +121,8 @@
         if cached is not None:
             for _ in self.bridge.endpoint_update_steps(cached):
                 await asyncio.sleep(0)
-        self.discovery.start(cached.version if cached is not None else None)
-        await _wait_for_event(self.discovery.first, FIRST_LIST_TIMEOUT_S)
+        self.endpoint_watch.start(cached.version if cached is not None else None)
+        await _wait_for_event(self.endpoint_watch.first_response, FIRST_LIST_TIMEOUT_S)
         await self.listener.start(*self.config.listen_address)
 
     def reload(self) -> None:
@@ -137,9 +138,9 @@
         log_event(log, logging.INFO, "config_reloaded")
         if self._needs_restart(config):
             log_event(log, logging.WARNING, "config_change_needs_restart", applied="discovery,counter")
-        self.discovery.move(config.discovery_address)
+        self.endpoint_watch.move_to(config.discovery_address)
         if self.counter is not None and config.counter_address is not None:
-            self.counter.move(config.counter_address)
+            self.counter.move_to(config.counter_address)
         self.config = replace(
             self.config,
             discovery_address=config.discovery_address,
@@ -180,7 +181,7 @@
     async def close(self) -> None:
         """Close all sockets."""
         self.listener.close()
-        self.discovery.close()
+        self.endpoint_watch.close()
         if self.counter is not None:
             self.counter.close()
         self.server_pools.close()
--- a/tests/lab/fakes/test_discovery.py
+++ b/tests/lab/fakes/test_discovery.py
@@ -9,7 +9,9 @@
 
 from quota_gateway.lab.fakes.discovery import FakeDiscovery, ListedServer
 from quota_gateway.lab.fakes.faults import Fault, FaultKind
-from quota_gateway.network.discovery.watch import Discovery, News
+from quota_gateway.network.discovery.endpoint_list import VersionedUpdate
+from quota_gateway.network.discovery.poll_schedule import PollSchedule
+from quota_gateway.network.discovery.watch import EndpointWatch
 from tests.lab.fakes.harness import NO_REPLY_WAIT_S, http_get, run_with_connection, started
 from tests.network.harness import RespClient, run_scenario, wait_until
 
@@ -70,14 +72,15 @@
 def test_the_gateways_own_watch_follows_the_fake() -> None:
     async def scenario() -> None:
         async with started(FakeDiscovery()) as discovery:
-            updates: list[News] = []
+            updates: list[VersionedUpdate] = []
             discovery.put(ListedServer("s0", "127.0.0.1:1"))
 
-            def on_update(update: News) -> tuple[()]:
+            def on_update(update: VersionedUpdate) -> tuple[()]:
                 updates.append(update)
                 return ()
 
-            watch = Discovery(asyncio.get_running_loop(), ("127.0.0.1", discovery.port), on_update)
+            loop = asyncio.get_running_loop()
+            watch = EndpointWatch(loop, ("127.0.0.1", discovery.port), on_update, PollSchedule(loop.time))
             watch.start()
             await wait_until(lambda: updates)
             discovery.mark_draining("s0")
--- a/tests/lab/simulation/test_discovery.py
+++ b/tests/lab/simulation/test_discovery.py
@@ -12,7 +12,7 @@
 from quota_gateway.lab.simulation.metrics import Metrics
 from quota_gateway.lab.simulation.network import Network
 from quota_gateway.lab.simulation.scheduler import EventScheduler
-from quota_gateway.network.discovery.watch import WAIT_S
+from quota_gateway.network.discovery.poll_schedule import LONG_POLL_S
 from quota_gateway.policy_api.endpoints import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from tests.lab.simulation.fleets import WITHOUT_JITTER, ZONE_0, ZONE_1
 
@@ -62,7 +62,7 @@
 
 def test_an_idle_watch_makes_one_call_for_each_wait() -> None:
     watches = Watches()
-    watches.run(1000.0 * (10 * WAIT_S + 1.0))
+    watches.run(1000.0 * (10 * LONG_POLL_S + 1.0))
     assert watches.metrics.messages["discovery"]["calls"] == 12  # the first waits shorter
     assert "whole_lists" not in watches.metrics.messages["discovery"]
 
