--- a/quota_gateway/network/__main__.py
+++ b/quota_gateway/network/__main__.py
@@ -66,7 +66,7 @@
     if len(sys.argv) > 1:
         return _answer_arguments(sys.argv[1:])
     early_sighups: list[int] = []  # without a handler SIGHUP would end the process, however early it comes
-    signal.signal(signal.SIGHUP, lambda number, frame: early_sighups.append(number))
+    signal.signal(signal.SIGHUP, lambda number, _frame: early_sighups.append(number))
     configure_logging()
     environ = dict(os.environ)
     try:
--- a/quota_gateway/network/counter_connection.py
+++ b/quota_gateway/network/counter_connection.py
@@ -190,7 +190,7 @@
         if self.state is ConnectionState.DRAINING and not self.pending_calls:
             self.close()
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # asyncio.Protocol's signature
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # the signature of asyncio.Protocol
         """Time out the pending calls, which may have been counted, and reconnect."""
         self._transport = None
         calls, self.pending_calls = self.pending_calls, deque()
--- a/quota_gateway/network/descriptors.py
+++ b/quota_gateway/network/descriptors.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from quota_gateway.network.counter_client import CONNECTION_COUNT
 from quota_gateway.network.listener import MAX_REFUSED_CONNECTIONS
@@ -13,8 +13,7 @@
 RESERVED_DESCRIPTORS = 2 * CONNECTION_COUNT + 2 + 1 + 3 + 8
 
 
-@dataclass(frozen=True, slots=True)
-class DescriptorBudget:
+class DescriptorBudget(NamedTuple):
     """The most connections of each kind."""
 
     servers: int
--- a/quota_gateway/network/discovery/http_connection.py
+++ b/quota_gateway/network/discovery/http_connection.py
@@ -60,7 +60,7 @@
         """Complete a body without a length."""
         self._receive(b"")
 
-    def connection_lost(self, exc: Exception | None) -> None:  # asyncio.Protocol's signature
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # the signature of asyncio.Protocol
         """Report the end of the connection."""
         self._transport = None
         self._on_closed()
