--- a/quota_gateway/lab/load/fault_schedule.py
+++ b/quota_gateway/lab/load/fault_schedule.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from quota_gateway.lab.fakes.discovery import ListedServer
+from quota_gateway.lab.fakes.endpoint_history import ListedServer
 from quota_gateway.lab.fakes.faults import FaultInjector
 from quota_gateway.lab.fakes.server import FakeServer
 from quota_gateway.lab.load.scheduled_fault import ScheduledFault, ScheduledFaultError
--- a/quota_gateway/lab/load/testbed.py
+++ b/quota_gateway/lab/load/testbed.py
@@ -13,7 +13,8 @@
 
 from quota_gateway.lab.fakes.attempt_log import AttemptLog
 from quota_gateway.lab.fakes.counter import CounterModel, FakeCounter
-from quota_gateway.lab.fakes.discovery import FakeDiscovery, ListedServer
+from quota_gateway.lab.fakes.discovery import FakeDiscovery
+from quota_gateway.lab.fakes.endpoint_history import ListedServer
 from quota_gateway.lab.fakes.loopback_server import LoopbackServer
 from quota_gateway.lab.fakes.server import FakeServer, ServerModel
 from quota_gateway.lab.load.deployment import GATEWAY_LIMITS, gateway_settings
@@ -109,7 +110,7 @@
             "counter": self.counter.address,
             "seed": f"{self.spec.seed * MAX_GATEWAYS + index:016x}",
             "limits": GATEWAY_LIMITS,
-            "known": msgspec.to_builtins(self.discovery.snapshot()),
+            "known": msgspec.to_builtins(self.discovery.endpoints.snapshot()),
             "settings": gateway_settings(self.spec.gateway_count, index),
         }
 
--- a/quota_gateway/lab/scaling/slopes.py
+++ b/quota_gateway/lab/scaling/slopes.py
@@ -288,7 +288,7 @@
                 "seed": f"{7:016x}",
                 "settings": gateway_settings(GATEWAYS),
                 "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 1024},
-                "known": json.loads(endpoint_list(entries(count), discovery.version, True)),
+                "known": json.loads(endpoint_list(entries(count), discovery.endpoints.version, True)),
             }
         )
         await process.wait_until_ready()
