--- a/quota_gateway/lab/cli/experiment_runs.py
+++ b/quota_gateway/lab/cli/experiment_runs.py
@@ -23,7 +23,7 @@
     configure_logging()  # this may be a process of its own
     log = structlog.get_logger()
     log.info(
-        "build",
+        "simulation_building",
         experiment=experiment.name,
         seed=seed,
         gateways=experiment.fleet.gateways,
@@ -33,10 +33,14 @@
     )
     simulation = Simulation(experiment, seed)
     cost = simulation.cost
-    log.info("play", seconds=experiment.duration_s, memory_mb=round(cost.memory_bytes["gateways"] / 1e6))
+    log.info(
+        "simulation_started",
+        seconds=experiment.duration_s,
+        memory_mb=round(cost.memory_bytes["gateways"] / 1e6),
+    )
     with progress_bar(experiment.name) as progress:
         simulation.run(progress)
-    log.info("done", wall_s=round(cost.wall_s, 2), events=simulation.scheduler.executed)
+    log.info("simulation_finished", wall_s=round(cost.wall_s, 2), events=simulation.scheduler.executed)
     return {
         "experiment": msgspec.to_builtins(experiment),
         "seed": seed,
--- a/quota_gateway/lab/scaling/scripted_gateway.py
+++ b/quota_gateway/lab/scaling/scripted_gateway.py
@@ -54,7 +54,7 @@
     """A policy whose attempts and counter calls are answered at once.
 
     Attributes:
-        now: the time that the policy is told, ms.
+        now: the time that the policy is given, ms.
         attempts: attempts that it has started.
     """
 
--- a/quota_gateway/lab/simulation/clients.py
+++ b/quota_gateway/lab/simulation/clients.py
@@ -103,7 +103,7 @@
             return
         service[ServiceCount.SERVED_WITHIN_OBJECTIVE] += 1
         if attempt.within_quota:  # what is served beyond a quota earns nothing (brief 4.1)
-            self.metrics.worth[ServiceCount.SERVED_WORTH] += request.units * request.tenant.plan.price
+            self.metrics.revenue[ServiceCount.SERVED_REVENUE] += request.units * request.tenant.plan.price
 
     def reset(self, attempt: ClientAttempt) -> None:
         """Take the reset of an attempt's connection: its gateway has died."""
--- a/quota_gateway/lab/simulation/discovery.py
+++ b/quota_gateway/lab/simulation/discovery.py
@@ -133,7 +133,7 @@
         self._parked[watcher.pool].pop(watcher, None)
 
     def stop(self) -> None:
-        """Fall silent; the watches on it hang."""
+        """Stop answering; open watches get no response."""
         self._down, self._down_at = True, self.scheduler.now
         for parked in self._parked:
             parked.clear()
--- a/quota_gateway/lab/simulation/fault_injection.py
+++ b/quota_gateway/lab/simulation/fault_injection.py
@@ -33,7 +33,7 @@
             self._scheduler.schedule_at(START_MS + 1000.0 * fault.at_s, self._begin, fault, rng)
 
     def _begin(self, fault: FaultConfig, rng: Random) -> None:
-        log.info("fault", kind=fault.kind, at_s=fault.at_s, for_s=fault.duration_s)
+        log.info("fault_injected", kind=fault.kind, at_s=fault.at_s, for_s=fault.duration_s)
         self._environment.metrics.log_lines[f"fault {fault.kind}"] += 1
         environment = self._environment
         duration_ms, later = 1000.0 * fault.duration_s, self._scheduler.schedule_after
--- a/quota_gateway/lab/simulation/gateways.py
+++ b/quota_gateway/lab/simulation/gateways.py
@@ -95,10 +95,10 @@
         self.known_version = self.watch.version or 0
         self.watch.stop()
         pending, self.pending = self.pending, {}
-        for request in pending.values():
-            if request.current is not None:
-                self.attempts.abort(request.current)
-            environment.clients.reset(request)
+        for attempt in pending.values():
+            if attempt.current is not None:
+                self.attempts.abort(attempt.current)
+            environment.clients.reset(attempt)
         self.counter_calls.clear()
         self.attempts.clear()
 
--- a/quota_gateway/lab/simulation/metrics.py
+++ b/quota_gateway/lab/simulation/metrics.py
@@ -20,7 +20,7 @@
 
 
 class ServiceCount(StrEnum):
-    """What became of clients' requests and attempts; worth is units times price."""
+    """What became of clients' requests and attempts; revenue is units times price."""
 
     FIRST_ATTEMPTS = "first_tries"
     FIRST_ATTEMPTS_WITHIN_QUOTA = "first_tries_inside"
@@ -35,8 +35,8 @@
     GATEWAY_UNREACHABLE = "unreached"
     RESET_BY_RESTART = "cut_by_restart"
     RETRIES_EXHAUSTED = "given_up"
-    OFFERED_WORTH = "offered_worth"
-    SERVED_WORTH = "served_worth"
+    OFFERED_REVENUE = "offered_worth"
+    SERVED_REVENUE = "served_worth"
 
 
 class QuotaCount(StrEnum):
@@ -171,7 +171,7 @@
     """Counts of one run."""
 
     service: Counter[str] = field(default_factory=Counter)  # by ServiceCount
-    worth: defaultdict[str, float] = field(default_factory=lambda: defaultdict(float))  # by ServiceCount
+    revenue: defaultdict[str, float] = field(default_factory=lambda: defaultdict(float))  # by ServiceCount
     quota: Counter[str] = field(default_factory=Counter)  # by QuotaCount
     violations: Counter[str] = field(default_factory=Counter)  # by RuleViolation
     messages: defaultdict[str, Counter[str]] = field(default_factory=_counter_by_role)
@@ -207,7 +207,7 @@
 
     def report(self) -> dict[str, Any]:
         """Return all counts for a result file, in a fixed order."""
-        service = _rounded(self.service) | {str(key): round(value, 3) for key, value in self.worth.items()}
+        service = _rounded(self.service) | {str(key): round(value, 3) for key, value in self.revenue.items()}
         return {
             "service": dict(sorted(service.items())),
             "quota": _rounded(self.quota),
--- a/quota_gateway/lab/simulation/quota_accounting.py
+++ b/quota_gateway/lab/simulation/quota_accounting.py
@@ -1,4 +1,4 @@
-"""Holds what clients sent and gateways admitted against the customers' true quotas."""
+"""Compares what clients sent and gateways admitted with the customers' true quotas."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
         self._metrics = metrics
 
     def record_first_attempt(self, tenant: Tenant, units: float) -> None:
-        """Count a first attempt, and its worth if one gateway that saw all of them would admit it."""
+        """Count a first attempt, and its revenue if one gateway that saw all of them would admit it."""
         metrics = self._metrics
         metrics.service[ServiceCount.FIRST_ATTEMPTS] += 1
         tenant.refill(self._scheduler.now)
         if tenant.reference_level >= units:
             tenant.reference_level -= units
             metrics.service[ServiceCount.FIRST_ATTEMPTS_WITHIN_QUOTA] += 1
-            metrics.worth[ServiceCount.OFFERED_WORTH] += units * tenant.plan.price
+            metrics.revenue[ServiceCount.OFFERED_REVENUE] += units * tenant.plan.price
 
     def record_forwarded(self, attempt: ClientAttempt) -> None:
         """Count an attempt when it is first forwarded: within its quota, which it uses, or beyond."""
--- a/quota_gateway/lab/simulation/run_report.py
+++ b/quota_gateway/lab/simulation/run_report.py
@@ -51,13 +51,13 @@
 
 def _rates(simulation: Simulation) -> dict[str, float]:
     experiment, metrics = simulation.experiment, simulation.metrics
-    service, worth, quota = metrics.service, metrics.worth, metrics.quota
+    service, revenue, quota = metrics.service, metrics.revenue, metrics.quota
     duration_ms = experiment.duration_s * 1000.0
     attempts = max(1, service[ServiceCount.ATTEMPTS])
     first_attempts = service[ServiceCount.FIRST_ATTEMPTS]
     units_over_quota = quota[QuotaCount.UNITS_OVER_QUOTA]
     units = max(1, quota[QuotaCount.UNITS_WITHIN_QUOTA] + units_over_quota)
-    served_share = worth[ServiceCount.SERVED_WORTH] / max(1e-9, worth[ServiceCount.OFFERED_WORTH])
+    served_share = revenue[ServiceCount.SERVED_REVENUE] / max(1e-9, revenue[ServiceCount.OFFERED_REVENUE])
     counter_calls = metrics.messages.get(Role.COUNTER, Counter())[Message.CALLS]
     busy_ms = sum(server.busy_ms for server in simulation.servers.by_name.values())
     per_s_and_gateway = 1.0 / (experiment.duration_s + TAIL_MS / 1000.0) / experiment.fleet.gateways
--- a/quota_gateway/lab/simulation/server_attempts.py
+++ b/quota_gateway/lab/simulation/server_attempts.py
@@ -41,7 +41,7 @@
         self._connection_used_at.clear()
 
     def abort(self, attempt: ServerAttempt) -> None:
-        """End an attempt in flight without a word to the policy, whose process is gone."""
+        """End an attempt in flight without notifying the policy, whose process is gone."""
         attempt.in_flight = False
         if attempt.task is not None:
             attempt.server.cancel(attempt.task)
@@ -49,32 +49,33 @@
     def start(self, action: StartAttempt) -> None:
         """Start an attempt, or complete it as not sent."""
         now = self._environment.scheduler.now
-        request = self._host.pending.get(action.request_id)
-        if request is None:
+        client_attempt = self._host.pending.get(action.request_id)
+        if client_attempt is None:
             self._environment.metrics.violations[RuleViolation.ATTEMPT_WITHOUT_REQUEST] += 1
             self._complete_unsent(action, 0, final=True)
             return
-        number, request.server_attempts = request.server_attempts, request.server_attempts + 1
-        timeout_ms = request.deadline - 1000.0 * RESPONSE_MARGIN_S - now
+        number = client_attempt.server_attempts
+        client_attempt.server_attempts += 1
+        timeout_ms = client_attempt.deadline - 1000.0 * RESPONSE_MARGIN_S - now
         if action.timeout_ms > 0:
             timeout_ms = min(timeout_ms, action.timeout_ms)
-        if timeout_ms <= 0 or number >= self._max_attempts or request.current is not None:
+        if timeout_ms <= 0 or number >= self._max_attempts or client_attempt.current is not None:
             self._complete_unsent(action, number, final=False)
             return
         server = self._environment.servers.by_name[action.server_id]
         self._notices.check_drain(server)
-        if request.closed and now - request.closed_at > DISCONNECT_NOTICE_MS:
+        if client_attempt.closed and now - client_attempt.closed_at > DISCONNECT_NOTICE_MS:
             self._environment.metrics.violations[RuleViolation.ATTEMPT_AFTER_DISCONNECT] += 1
-        attempt = request.current = ServerAttempt(request, number, server, now)
+        attempt = client_attempt.current = ServerAttempt(client_attempt, number, server, now)
         self._environment.scheduler.schedule_after(timeout_ms, self._complete, attempt, CallOutcome.TIMEOUT)
         self._send(attempt)
 
     def cancel(self, request_id: str, number: int) -> None:
         """Stop waiting for an attempt."""
-        request = self._host.pending.get(request_id)
-        if request is not None and request.current is not None and request.current.number == number:
-            scheduler = self._environment.scheduler
-            scheduler.schedule_after(0.0, self._complete, request.current, CallOutcome.CANCELLED)
+        client_attempt = self._host.pending.get(request_id)
+        attempt = client_attempt.current if client_attempt is not None else None
+        if attempt is not None and attempt.number == number:
+            self._environment.scheduler.schedule_after(0.0, self._complete, attempt, CallOutcome.CANCELLED)
 
     def _complete_unsent(self, action: StartAttempt, number: int, *, final: bool) -> None:
         event = AttemptCompleted(
@@ -101,22 +102,26 @@
         if server.state is ServerState.DOWN:
             scheduler.schedule_after(2.0 * delay, self._complete, attempt, CallOutcome.UNREACHABLE)
             return
-        request = attempt.client_attempt
-        self._record_forwarded(request)
+        self._forward(attempt, delay)
+
+    def _forward(self, attempt: ServerAttempt, delay: float) -> None:
+        """Send the request over a connection; it arrives after the delay, ms."""
+        environment, server, client_attempt = self._environment, attempt.server, attempt.client_attempt
+        self._record_forwarded(client_attempt)
         attempt.task = ServerTask(
-            request.request.work * server.service_time_ms,
+            client_attempt.request.work * server.service_time_ms,
             partial(self._return_response, attempt, self._host.incarnation),
             self._notices.knows_start(server),
         )
-        size = request_bytes(request, request.deadline - scheduler.now)
+        size = request_bytes(client_attempt, client_attempt.deadline - environment.scheduler.now)
         environment.metrics.count_message(Role.GATEWAY, Message.ATTEMPTS, size)
-        scheduler.schedule_after(delay, self._arrive, attempt)
+        environment.scheduler.schedule_after(delay, self._arrive, attempt)
 
-    def _record_forwarded(self, request: ClientAttempt) -> None:
-        self._host.record_wait(request)
-        if not request.forwarded:
-            request.forwarded = True
-            self._environment.quotas.record_forwarded(request)
+    def _record_forwarded(self, client_attempt: ClientAttempt) -> None:
+        self._host.record_wait(client_attempt)
+        if not client_attempt.forwarded:
+            client_attempt.forwarded = True
+            self._environment.quotas.record_forwarded(client_attempt)
 
     def _arrive(self, attempt: ServerAttempt) -> None:
         """Hand the request to the server."""
@@ -135,27 +140,27 @@
 
     def _complete(self, attempt: ServerAttempt, outcome: CallOutcome) -> None:
         """Complete an attempt; a good response goes to the client before the policy hears of it."""
-        host, environment, request = self._host, self._environment, attempt.client_attempt
+        host, environment, client_attempt = self._host, self._environment, attempt.client_attempt
         if not attempt.in_flight or not host.alive:
             return
         attempt.in_flight = False
-        if request.current is attempt:
-            request.current = None
+        if client_attempt.current is attempt:
+            client_attempt.current = None
         environment.metrics.attempt_outcomes[outcome.value] += 1
         if outcome in (CallOutcome.TIMEOUT, CallOutcome.CANCELLED) and attempt.task is not None:
             attempt.server.cancel(attempt.task)
         attempt.task = None  # it refers back to the attempt: no work for the collector of cycles
         if outcome is CallOutcome.OK:
             environment.metrics.count_message(Role.GATEWAY, Message.VALUES, VALUE_BYTES + VALUE_FRAMING_BYTES)
-            if host.pending.pop(request.request_id, None) is not None and not request.closed:
-                environment.clients.complete(request, Answer.SERVED)
+            if host.pending.pop(client_attempt.request_id, None) is not None and not client_attempt.closed:
+                environment.clients.complete(client_attempt, Answer.SERVED)
         host.post(
             AttemptCompleted(
-                request.request_id,
+                client_attempt.request_id,
                 attempt.number,
                 attempt.server.name,
                 outcome,
                 environment.scheduler.now - attempt.sent_at,
-                request.request_id not in host.pending,
+                client_attempt.request_id not in host.pending,
             )
         )
--- a/quota_gateway/lab/toml_config.py
+++ b/quota_gateway/lab/toml_config.py
@@ -44,10 +44,10 @@
     Args:
         path: the file.
         record_type: the record that it holds.
-        find_problem: checks what the types don't tell.
+        find_problem: checks what the types can't express.
 
     Raises:
-        ConfigFileError: the file can't be read, is not TOML, or holds what it must not.
+        ConfigFileError: the file can't be read, is not TOML, or its content is invalid.
     """
     text = _read_text(path)
     try:
--- a/tests/lab/test_lab_run.py
+++ b/tests/lab/test_lab_run.py
@@ -44,7 +44,7 @@
     assert result["measured"]["module_s"] > 0
     assert result["machine"]["cores"] >= 1
     assert "rates.service" in invocation.stdout
-    assert "event=fault" in invocation.stderr  # a structured line
+    assert "event=fault_injected" in invocation.stderr  # a structured line
     assert sorted(path.name for path in tmp_path.iterdir()) == ["out.json", "tiny.toml"]
 
 
