--- a/quota_gateway/lab/scaling/slopes.py
+++ b/quota_gateway/lab/scaling/slopes.py
@@ -31,7 +31,7 @@
 from quota_gateway.lab.load.gateway_process import GatewayProcess
 from quota_gateway.lab.simulation.wire_sizes import HTTP_HEADER_BYTES, call_get, endpoint_list
 from quota_gateway.network import resp
-from quota_gateway.network.commands import CommandParser, RequestLimits
+from quota_gateway.network.commands import CommandParser, RequestLimits, is_command
 from quota_gateway.network.discovery.endpoint_list import (
     INCREMENTAL_PARSE_MIN_BYTES,
     IncrementalListParser,
@@ -398,7 +398,7 @@
         parser = resp.Parser()
         parser.feed(command)
         words = parser.next_message()
-        assert isinstance(words, list)
+        assert is_command(words)
         command_parser.parse(words).encode(400)
 
     def server() -> None:
--- a/quota_gateway/network/attempt_result.py
+++ b/quota_gateway/network/attempt_result.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
 
 from quota_gateway.network import resp
 from quota_gateway.network.load_report import is_load_report
@@ -20,15 +19,16 @@
     connection_reusable: bool = False  # the response was well-formed: another request may follow it
 
 
-def classify_response(response: Any) -> AttemptResult:
+def classify_response(response: resp.Message) -> AttemptResult:
     """Classify a complete RESP message from a server by the protocol's table of responses.
 
     Only the exact forms count. A response that was corrupted on its way belongs to a request that has run, so
     it must neither be served nor be taken for a rejection, which promises that the request did not run.
     """
-    if isinstance(response, list) and len(response) == 3 and isinstance(response[0], bytes):
+    if isinstance(response, list) and len(response) == 3:
         value, _, report = response
-        return AttemptResult(CallOutcome.OK, value, report if isinstance(report, bytes) else None, True)
+        if isinstance(value, bytes):
+            return AttemptResult(CallOutcome.OK, value, report if isinstance(report, bytes) else None, True)
     if isinstance(response, resp.ReplyError):
         return _classify_error(str(response))
     return AttemptResult(CallOutcome.ERROR)
--- a/quota_gateway/network/client_connection.py
+++ b/quota_gateway/network/client_connection.py
@@ -14,7 +14,7 @@
 import logging
 from collections import deque
 from enum import Enum, auto
-from typing import Any, Protocol
+from typing import Protocol
 
 from quota_gateway.network import resp
 from quota_gateway.network.bridge import PolicyBridge
@@ -24,6 +24,7 @@
     CommandError,
     CommandParser,
     answer_connection_command,
+    is_command,
 )
 from quota_gateway.network.log_setup import log_event
 from quota_gateway.network.pending_reply import PendingReply
@@ -179,12 +180,12 @@
         commands_left = MAX_COMMANDS_PER_ITERATION
         try:
             while commands_left and self._can_process():
-                words = self.parser.next_message()
-                if words is resp.NEED_DATA:
+                message = self.parser.next_message()
+                if message is resp.NEED_DATA:
                     break
                 commands_left -= 1
                 self.has_sent_command, self.partial_command_since = True, None
-                self._process_command(words)
+                self._process_command(message)
         except resp.ProtocolError as error:
             self.close_with_error(error)
         finally:
@@ -209,14 +210,14 @@
             self.processing = Processing.SCHEDULED
             self.owner.loop.call_soon(self.process_commands)
 
-    def _process_command(self, words: Any) -> None:
+    def _process_command(self, message: resp.Message) -> None:
         """Process one command. An invalid one gets an error; only what breaks RESP raises `ProtocolError`."""
-        if not isinstance(words, list) or not words or not all(type(word) is bytes for word in words):
+        if not is_command(message):
             raise resp.ProtocolError("expected an array of bulk strings")
         pending = PendingReply(self.owner.open_request_ids, self.flush)
         self.pending.append(pending)
         try:
-            self._execute(pending, words)
+            self._execute(pending, message)
         except CommandError as error:
             pending.reply = resp.encode_error(str(error))
             self.command_errors += 1
--- a/quota_gateway/network/commands.py
+++ b/quota_gateway/network/commands.py
@@ -14,7 +14,7 @@
 import re
 from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import TypeVar
+from typing import TypeGuard, TypeVar
 
 from quota_gateway.network import resp
 from quota_gateway.settings import Idempotency, Settings
@@ -120,6 +120,11 @@
         return class_name
 
 
+def is_command(message: object) -> TypeGuard[list[bytes]]:
+    """Tell whether a message is a command: a non-empty array of bulk strings."""
+    return isinstance(message, list) and bool(message) and all(type(word) is bytes for word in message)
+
+
 def answer_connection_command(verb: bytes, words: list[bytes]) -> bytes:
     """Return the encoded reply to a command that is no request. Raises `CommandError` for an unknown one.
 
--- a/quota_gateway/network/resp.py
+++ b/quota_gateway/network/resp.py
@@ -9,7 +9,7 @@
 
 import re
 from enum import Enum
-from typing import Any, Final
+from typing import Final, Literal
 
 import hiredis
 
@@ -36,7 +36,10 @@
     NEED_DATA = "need_data"
 
 
-NEED_DATA: Final = NeedData.NEED_DATA  # a parser's answer while a message is incomplete
+NEED_DATA: Final = NeedData.NEED_DATA  # what a parser returns while a message is incomplete
+
+# A complete message: status, bulk string, integer, null, error or array.
+Message = str | bytes | int | None | ReplyError | list["Message"]
 
 
 class ProtocolError(Exception):
@@ -59,7 +62,7 @@
             self._buffer = data
         self._position = 0
 
-    def next_message(self) -> Any:
+    def next_message(self) -> Message | Literal[NeedData.NEED_DATA]:
         """Return the next complete message, or `NEED_DATA`.
 
         A status comes as `str`, a bulk string as `bytes`, an integer as `int`, an array as `list`, a null as
@@ -78,9 +81,10 @@
         if end == len(self._buffer):
             self._buffer, self._position = b"", 0  # an idle connection keeps no buffer alive
         try:
-            return reader.gets()
+            message: Message = reader.gets()
         except hiredis.ProtocolError as error:
             raise ProtocolError(str(error)) from None
+        return message
 
     def buffered_bytes(self) -> int:
         """Return how many bytes follow the last message returned."""
--- a/tests/network/harness.py
+++ b/tests/network/harness.py
@@ -251,9 +251,10 @@
         assert not self.inside, "the policy was called from within a call"
         self.inside = True
         self.events.append(event)
-        actions = self.decide(event)
-        self.inside = False
-        return actions
+        try:
+            return self.decide(event)
+        finally:
+            self.inside = False
 
     def events_of(self, kind: type[E]) -> list[E]:
         return [event for event in self.events if isinstance(event, kind)]
--- a/tests/network/test_bridge.py
+++ b/tests/network/test_bridge.py
@@ -110,14 +110,7 @@
                 raise RuntimeError("a defect")
             return forward_to("s0")(event)
 
-        script = ScriptedPolicy(decide)
-
-        def handle(now_ms: float, event: Event) -> list[Action]:
-            script.events.append(event)
-            return decide(event)
-
-        script.handle = handle  # type: ignore[method-assign]
-        async with running_gateway(always_reply(OK_RESPONSE), policy=script) as gateway:
+        async with running_gateway(always_reply(OK_RESPONSE), policy=ScriptedPolicy(decide)) as gateway:
             client = await gateway.connect_client()
             assert str(await client.execute(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)) == "BUSY"
             assert await client.execute(b"CALL.POST", CUSTOMER, b"2", CHARGE_FIELDS) == b"value"
@@ -125,6 +118,27 @@
     run_scenario(scenario())
 
 
+def test_a_failure_of_the_policy_or_of_an_action_is_logged_as_an_event(
+    caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def scenario() -> None:
+        def decide(event: Event) -> list[Action]:
+            if isinstance(event, Request) and event.class_name == "read":
+                raise RuntimeError("a defect")
+            return forward_to("s0")(event)
+
+        async with running_gateway(always_reply(OK_RESPONSE), policy=ScriptedPolicy(decide)) as gateway:
+            client = await gateway.connect_client()
+            monkeypatch.setattr(gateway.server_pools, "writable_pool", None)
+            assert str(await client.execute(b"CALL.POST", CUSTOMER, b"1", CHARGE_FIELDS)) == "BUSY"
+            assert str(await client.execute(b"CALL.GET", CUSTOMER, b"2", READ_FIELDS)) == "BUSY"
+
+    run_scenario(scenario())
+    failures = [each for each in caplog.records if each.name == "quota_gateway" and each.exc_info]
+    logged = [record.getMessage() for record in failures]
+    assert logged == ["event=action_failed action=StartAttempt", "event=policy_failed policy_event=Request"]
+
+
 def test_timers_fire_at_their_time_or_after() -> None:
     async def scenario() -> None:
         fired: list[float] = []
