--- a/quota_gateway/lab/cli/experiment_runs.py
+++ b/quota_gateway/lab/cli/experiment_runs.py
@@ -7,13 +7,13 @@
 from multiprocessing import get_context
 from typing import Any
 
-import msgspec
 import structlog
 
 from quota_gateway.lab.cli.logging_setup import configure_logging
 from quota_gateway.lab.cli.progress import progress_bar
 from quota_gateway.lab.machine import describe_machine
 from quota_gateway.lab.simulation.experiment import Experiment
+from quota_gateway.lab.simulation.experiment_keys import result_section
 from quota_gateway.lab.simulation.run_report import measured_figures, simulated_figures
 from quota_gateway.lab.simulation.simulation import Simulation
 
@@ -42,7 +42,7 @@
         simulation.run(progress)
     log.info("simulation_finished", wall_s=round(cost.wall_s, 2), events=simulation.scheduler.executed)
     return {
-        "experiment": msgspec.to_builtins(experiment),
+        "experiment": result_section(experiment),
         "seed": seed,
         "machine": describe_machine(),
         "simulated": simulated_figures(simulation),
--- a/quota_gateway/lab/simulation/experiment.py
+++ b/quota_gateway/lab/simulation/experiment.py
@@ -1,9 +1,8 @@
 """An experiment: what is simulated, read from a TOML file and checked whole before anything runs.
 
-The `rename` of each record maps its fields to the keys of experiment and result files, where these differ;
-that mapping stands nowhere else. Ranges are [low, high]; the seed draws a figure from each. Sources of the
-defaults are named beside them: brief, BENCH, PROTOCOL, DEPLOY and WIRE are pages of the operators, "the
-letter" is theirs of 2026-12-02; "assumed" stands where none of them says.
+Ranges are [low, high]; the seed draws a figure from each. Sources of the defaults are named beside them:
+brief, BENCH, PROTOCOL, DEPLOY and WIRE are pages of the operators, "the letter" is theirs of 2026-12-02;
+"assumed" stands where none of them says. `experiment_keys` has the names that these fields had formerly.
 """
 
 from __future__ import annotations
@@ -20,7 +19,7 @@
 Range = tuple[NonNegativeFloat, NonNegativeFloat]
 
 
-class FleetConfig(Table, frozen=True, rename={"visible_servers": "visible"}):
+class FleetConfig(Table, frozen=True):
     """Sizes. Everything is split into `servers / visible_servers` pools that do not know of each other."""
 
     gateways: PositiveInt
@@ -30,26 +29,7 @@
     zones: SmallInt = 1  # the letter: 23
 
 
-class LoadConfig(
-    Table,
-    frozen=True,
-    rename={
-        "sampled_share": "part",
-        "zipf_exponent": "skew",
-        "quota_utilization": "use",
-        "max_quota_utilization": "most_use",
-        "heavy_share": "heavy",
-        "heavy_factor": "heavy_x",
-        "spiky_share": "spiky",
-        "spike_factor": "spike_x",
-        "spike_duration_s": "spike_s",
-        "spike_interval_s": "spike_every_s",
-        "gateways_per_tenant": "spread",
-        "gateway_weight_exponent": "uneven",
-        "gateway_weight_shift_s": "shift_s",
-        "max_units": "most_units",
-    },
-):
+class LoadConfig(Table, frozen=True):
     """The demand of all clients together."""
 
     requests_per_s: PositiveFloat  # first attempts; brief 1.1: about 120; the letter: 210,000
@@ -73,20 +53,7 @@
     max_units: SmallInt = 8  # of a request, brief 4.6
 
 
-class ClientConfig(
-    Table,
-    frozen=True,
-    rename={
-        "max_retries": "retries",
-        "retry_after_share": "honour",
-        "backoff_ms": "pause_ms",
-        "latency_objective_ms": "aim_ms",
-        "timeout_share": "give_up",
-        "disconnect_share": "leaving",
-        "disconnect_after_ms": "leave_ms",
-        "failover_ms": "dead_ms",
-    },
-):
+class ClientConfig(Table, frozen=True):
     """Habits of clients."""
 
     max_retries: Annotated[int, Meta(ge=0, le=20)] = 3  # brief 6.1
@@ -102,24 +69,7 @@
     failover_ms: Range = (1200.0, 3200.0)  # requests go on coming to a dead gateway for so long, brief 1.4
 
 
-class ServerConfig(
-    Table,
-    frozen=True,
-    rename={
-        "queue_capacity": "room",
-        "service_time_ms": "work_ms",
-        "service_time_variation": "spread",
-        "initial_capacity_share": "cold_share",
-        "warm_up_ms": "warm_ms",
-        "overload_window_ms": "overload_ms",
-        "drain_period_ms": "drain_ms",
-        "startup_ms": "start_ms",
-        "error_share": "errors",
-        "connect_timeout_ms": "connect_ms",
-        "idle_timeout_ms": "idle_ms",
-        "cancels_running_work": "stops",
-    },
-):
+class ServerConfig(Table, frozen=True):
     """The one kind of server that there is."""
 
     cores: SmallInt = 2  # brief 3.1
@@ -139,17 +89,7 @@
     cancels_running_work: bool = False  # whether cancelled work that runs stops; both occur, brief 3.2
 
 
-class CounterConfig(
-    Table,
-    frozen=True,
-    rename={
-        "enabled": "on",
-        "partitions": "parts",
-        "processing_ms": "call_ms",
-        "queue_limit_timeouts": "line",
-        "loss_share": "loss",
-    },
-):
+class CounterConfig(Table, frozen=True):
     """The shared counter."""
 
     enabled: bool = True
@@ -165,19 +105,7 @@
     loss_share: Share = 0.0  # of the calls
 
 
-class DiscoveryConfig(
-    Table,
-    frozen=True,
-    rename={
-        "propagation_ms": "late_ms",
-        "call_cost_ms": "call_ms",
-        "endpoint_cost_ms": "line_ms",
-        "max_queue_ms": "line_limit_ms",
-        "history_limit": "kept",
-        "loss_share": "lost",
-        "notification_deadline_ms": "told_ms",
-    },
-):
+class DiscoveryConfig(Table, frozen=True):
     """The service that knows the endpoint list. Its costs are assumed: no page gives them."""
 
     propagation_ms: Range = (500.0, 3000.0)  # until it learns of a change; "seconds late", brief 7.1
@@ -189,17 +117,7 @@
     notification_deadline_ms: PositiveFloat = 6000.0  # then a gateway counts as notified, PROTOCOL "Figures"
 
 
-class NetworkConfig(
-    Table,
-    frozen=True,
-    rename={
-        "same_zone_ms": "zone_ms",
-        "cross_region_ms": "region_ms",
-        "jitter_share": "jitter",
-        "loss_share": "loss",
-        "retransmit_ms": "resend_ms",
-    },
-):
+class NetworkConfig(Table, frozen=True):
     """Delays one way. No page gives figures; those of one site are small."""
 
     same_zone_ms: NonNegativeFloat = 0.25
@@ -210,16 +128,7 @@
     retransmit_ms: NonNegativeFloat = 200.0  # ... after this
 
 
-class PlanConfig(
-    Table,
-    frozen=True,
-    rename={
-        "usage_share": "share",
-        "relative_rate": "rate",
-        "over_quota_cost": "beyond_cost",
-        "hard_limit_factor": "ceiling",
-    },
-):
+class PlanConfig(Table, frozen=True):
     """A plan. All rates are scaled by one factor, so that `load.quota_utilization` holds."""
 
     name: str
@@ -248,21 +157,21 @@
 )
 
 FaultKind = Literal[
-    "zone_cut",
-    "regions_apart",
+    "zone_isolated",
+    "regions_partitioned",
     "rack_lost",
     "servers_hung",
     "servers_crashed",
     "servers_replaced",
     "gateways_restarted",
-    "discovery_down",
-    "counter_mute",
-    "counter_emptied",
-    "surge",
+    "discovery_unavailable",
+    "counter_unavailable",
+    "counter_cleared",
+    "demand_surge",
 ]
 
 
-class FaultConfig(Table, frozen=True, rename={"duration_s": "for_s", "downtime_ms": "down_ms"}):
+class FaultConfig(Table, frozen=True):
     """Something that goes wrong at a moment, counted from the start of the run."""
 
     kind: FaultKind
@@ -270,14 +179,14 @@
     duration_s: NonNegativeFloat = 0.0  # replacements and restarts are spread over this time
     share: Share = 0.0  # of the servers, gateways or tenants
     count: Annotated[int, Meta(ge=0)] = 0  # the same as a number; takes precedence over the share
-    zone: str = ""  # zone_cut: "z0", "z1" ...
+    zone: str = ""  # zone_isolated: "z0", "z1" ...
     factor: Annotated[float, Meta(gt=0, le=100)] = (
-        3.0  # surge: times the usual load; BENCH tenant_burst 2 to 6
+        3.0  # demand_surge: times the usual load; BENCH tenant_burst 2 to 6
     )
     downtime_ms: Range = (1100.0, 7800.0)  # gateways_restarted: each is away for this long, brief 2.1
 
 
-class Experiment(Table, frozen=True, rename={"duration_s": "seconds"}):
+class Experiment(Table, frozen=True):
     """All of the file."""
 
     name: Annotated[str, Meta(min_length=1)]
--- a/quota_gateway/lab/simulation/experiment_validation.py
+++ b/quota_gateway/lab/simulation/experiment_validation.py
@@ -6,6 +6,7 @@
 from pathlib import Path
 
 from quota_gateway.lab.simulation.experiment import Experiment, FaultConfig, excess_utilization
+from quota_gateway.lab.simulation.experiment_keys import rename_former_keys
 from quota_gateway.lab.toml_config import Problem, Table, load_config
 
 MAX_MEMORY_BYTES = 12e9  # that an experiment may need
@@ -18,13 +19,13 @@
 REQUEST_BYTES = 3_000.0  # until the deadline has passed
 
 LASTING_FAULTS = (
-    "zone_cut",
-    "regions_apart",
+    "zone_isolated",
+    "regions_partitioned",
     "rack_lost",
     "servers_hung",
-    "discovery_down",
-    "counter_mute",
-    "surge",
+    "discovery_unavailable",
+    "counter_unavailable",
+    "demand_surge",
 )
 SIZED_FAULTS = (
     "rack_lost",
@@ -32,13 +33,13 @@
     "servers_crashed",
     "servers_replaced",
     "gateways_restarted",
-    "surge",
+    "demand_surge",
 )
 
 
 def load_experiment(path: Path) -> Experiment:
     """Read and check an experiment. Raises ConfigFileError."""
-    return load_config(path, Experiment, find_problem)
+    return load_config(path, Experiment, find_problem, rename_former_keys)
 
 
 def find_problem(experiment: Experiment) -> Problem | None:
@@ -61,7 +62,7 @@
     requests_per_s = load.requests_per_s * load.sampled_share
     deadline_s = experiment.clients.deadline_ms / 1000.0
     return {
-        "fleet.visible" if fleet.visible_servers else "fleet.servers": (
+        "fleet.visible_servers" if fleet.visible_servers else "fleet.servers": (
             fleet.gateways * gateway_bytes + fleet.servers * SERVER_BYTES
         ),
         "load.tenants": tenants * load.gateways_per_tenant[1] * TENANT_RECORD_BYTES,
@@ -80,27 +81,27 @@
     ]
     tables += [(f"faults[{i}]", fault) for i, fault in enumerate(experiment.faults)]
     for name, table in tables:
-        for field, key in zip(table.__struct_fields__, table.__struct_encode_fields__, strict=True):
+        for field in table.__struct_fields__:
             value = getattr(table, field)
             if isinstance(value, tuple) and len(value) == 2 and value[0] > value[1]:
                 reason = f"the range [{value[0]}, {value[1]}] ends before it begins"
-                yield Problem(f"{name}.{key}", reason)
+                yield Problem(f"{name}.{field}", reason)
 
 
 def _inconsistent_sizes(experiment: Experiment) -> Iterator[Problem]:
     fleet, load, pools = experiment.fleet, experiment.load, experiment.pool_count
     if experiment.visible_servers > fleet.servers:
-        yield Problem("fleet.visible", f"more than the {fleet.servers} servers")
+        yield Problem("fleet.visible_servers", f"more than the {fleet.servers} servers")
     if fleet.zones < fleet.regions:
         yield Problem("fleet.zones", f"fewer than the {fleet.regions} regions")
     if fleet.gateways < pools:
         yield Problem("fleet.gateways", f"fewer than the {pools} pools of servers")
     if load.tenants * load.sampled_share < pools:
-        yield Problem("load.tenants", f"by part fewer than {pools} pools")
+        yield Problem("load.tenants", f"in the sampled share fewer than {pools} pools")
     if load.gateways_per_tenant[1] > max(1, fleet.gateways // pools):
-        yield Problem("load.spread", "more than a pool's gateways")
+        yield Problem("load.gateways_per_tenant", "more than a pool's gateways")
     if experiment.clients.latency_objective_ms > experiment.clients.deadline_ms:
-        yield Problem("clients.aim_ms", "beyond the deadline")
+        yield Problem("clients.latency_objective_ms", "beyond the deadline")
     names = [plan.name for plan in experiment.plans]
     for index, name in enumerate(names):
         if name in names[:index]:
@@ -111,19 +112,21 @@
     load = experiment.load
     positive_ranges = {
         "counter.calls_per_s": experiment.counter.calls_per_s,
-        "servers.work_ms": experiment.servers.service_time_ms,
-        "load.shift_s": load.gateway_weight_shift_s,
+        "servers.service_time_ms": experiment.servers.service_time_ms,
+        "load.gateway_weight_shift_s": load.gateway_weight_shift_s,
     }
     for key, (low, _) in positive_ranges.items():
         if low <= 0:
             yield Problem(key, "begins at nothing")
     if load.heavy_share + load.spiky_share > 1.0:
-        yield Problem("load.spiky", "more than all tenants, with the heavy ones")
+        yield Problem("load.spiky_share", "more than all tenants, with the heavy ones")
     if load.spike_duration_s[1] >= load.spike_interval_s[0]:
-        yield Problem("load.spike_s", "longer than the time between two spikes")
+        yield Problem("load.spike_duration_s", "longer than the time between two spikes")
     excess = excess_utilization(load)
     if excess > 0.95 * load.quota_utilization:
-        yield Problem("load.use", f"heavy and spiky tenants alone ask for {excess:.2f} of the quotas")
+        yield Problem(
+            "load.quota_utilization", f"heavy and spiky tenants alone ask for {excess:.2f} of the quotas"
+        )
 
 
 def _impossible_sizes(experiment: Experiment) -> Iterator[Problem]:
@@ -144,11 +147,11 @@
 
 
 def _fault_problems(experiment: Experiment, fault: FaultConfig, key: str) -> Iterator[Problem]:
-    available = {"gateways_restarted": experiment.fleet.gateways, "surge": experiment.load.tenants}
+    available = {"gateways_restarted": experiment.fleet.gateways, "demand_surge": experiment.load.tenants}
     most = available.get(fault.kind, experiment.fleet.servers)
     if fault.at_s >= experiment.duration_s:
         yield Problem(f"{key}.at_s", f"after the end, {experiment.duration_s:g} s")
-    if fault.kind == "zone_cut" and fault.zone not in experiment.zone_names:
+    if fault.kind == "zone_isolated" and fault.zone not in experiment.zone_names:
         reason = f"no zone {fault.zone!r}; there are z0 to z{experiment.fleet.zones - 1}"
         yield Problem(f"{key}.zone", reason)
     if fault.kind in SIZED_FAULTS and not fault.share and not fault.count:
@@ -156,4 +159,4 @@
     if fault.count > most:
         yield Problem(f"{key}.count", f"more than the {most} there are")
     if fault.kind in LASTING_FAULTS and not fault.duration_s:
-        yield Problem(f"{key}.for_s", "missing: it would last for no time")
+        yield Problem(f"{key}.duration_s", "missing: it would last for no time")
--- a/quota_gateway/lab/simulation/fault_injection.py
+++ b/quota_gateway/lab/simulation/fault_injection.py
@@ -38,21 +38,21 @@
         environment = self._environment
         duration_ms, later = 1000.0 * fault.duration_s, self._scheduler.schedule_after
         match fault.kind:
-            case "zone_cut":
+            case "zone_isolated":
                 environment.network.isolated_zones.add(fault.zone)
                 later(duration_ms, self._heal_zone, fault.zone)
-            case "regions_apart":
+            case "regions_partitioned":
                 environment.network.regions_partitioned = True
                 later(duration_ms, setattr, environment.network, "regions_partitioned", False)
-            case "discovery_down":
+            case "discovery_unavailable":
                 environment.discovery.stop()
                 later(duration_ms, environment.discovery.start)
-            case "counter_mute":
+            case "counter_unavailable":
                 environment.counter.silent = True
                 later(duration_ms, setattr, environment.counter, "silent", False)
-            case "counter_emptied":
+            case "counter_cleared":
                 environment.counter.clear()
-            case "surge":
+            case "demand_surge":
                 self._begin_surge(fault, rng)
             case "gateways_restarted":
                 self._restart_gateways(fault, rng)
--- a/quota_gateway/lab/toml_config.py
+++ b/quota_gateway/lab/toml_config.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Annotated, TypeVar
+from typing import Annotated, Any, TypeVar
 
 import msgspec
 from msgspec import Meta
@@ -32,19 +32,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """What is wrong with a file: the key's path as the file writes it, and the reason."""
+    """What is wrong with a file: the path of the key, and the reason."""
 
     key: str
     reason: str
 
 
-def load_config(path: Path, record_type: type[T], find_problem: Callable[[T], Problem | None]) -> T:
+def load_config(
+    path: Path,
+    record_type: type[T],
+    find_problem: Callable[[T], Problem | None],
+    rename_former_keys: Callable[[dict[str, Any]], dict[str, str]] = lambda _: {},
+) -> T:
     """Read a file into a record and check it.
 
     Args:
         path: the file.
         record_type: the record that it holds.
         find_problem: checks what the types can't express.
+        rename_former_keys: renames keys of the decoded file that have another name now; returns their paths
+            as the file writes them, by present path.
 
     Raises:
         ConfigFileError: the file can't be read, is not TOML, or its content is invalid.
@@ -56,6 +63,7 @@
         found = re.search(r"^(.*) \(at line (\d+), column \d+\)$", str(error))
         line, reason = (found[2], found[1]) if found else (str(text.count("\n") + 1), str(error))
         raise ConfigFileError(f"{path}:{line}: not TOML: {reason}") from None
+    as_written = rename_former_keys(raw)
     try:
         record = msgspec.convert(raw, record_type)
     except msgspec.ValidationError as error:
@@ -65,7 +73,8 @@
         if found_problem is None:
             return record
         problem = found_problem
-    raise ConfigFileError(f"{path}:{_line_of(text, problem.key)}: {problem.key}: {problem.reason}")
+    key = _key_as_written(problem.key, as_written)
+    raise ConfigFileError(f"{path}:{_line_of(text, key)}: {key}: {problem.reason}")
 
 
 def _read_text(path: Path) -> str:
@@ -87,6 +96,12 @@
     return Problem(key or "the file", reason[:1].lower() + reason[1:])
 
 
+def _key_as_written(key: str, as_written: dict[str, str]) -> str:
+    """Return a key's path as the file writes it; the path may go on with an index into its value."""
+    name, bracket, index = key.partition("[") if key.endswith("]") else (key, "", "")
+    return f"{as_written.get(name, name)}{bracket}{index}"
+
+
 def _line_of(text: str, key: str) -> int:
     """Return the line of a key; of its table's header if the key is missing, 1 if that is missing too."""
     wanted = [part for part in re.split(r"[.\[\]]+", key) if part]
--- a/tests/lab/simulation/fleets.py
+++ b/tests/lab/simulation/fleets.py
@@ -50,6 +50,6 @@
 ROUGH_FAULTS = (
     FaultConfig(kind="servers_replaced", at_s=1.0, duration_s=1.0, share=0.4),
     FaultConfig(kind="gateways_restarted", at_s=2.0, duration_s=0.5, share=0.5),
-    FaultConfig(kind="zone_cut", at_s=3.0, duration_s=1.0, zone="z1"),
-    FaultConfig(kind="counter_mute", at_s=4.0, duration_s=0.5),
+    FaultConfig(kind="zone_isolated", at_s=3.0, duration_s=1.0, zone="z1"),
+    FaultConfig(kind="counter_unavailable", at_s=4.0, duration_s=0.5),
 )
--- a/tests/lab/simulation/test_fault_injection.py
+++ b/tests/lab/simulation/test_fault_injection.py
@@ -41,9 +41,9 @@
 
 def test_a_discovery_outage_and_a_cleared_counter_lose_no_answers() -> None:
     simulation = run_with_faults(
-        FaultConfig(kind="discovery_down", at_s=1.0, duration_s=4.0),
+        FaultConfig(kind="discovery_unavailable", at_s=1.0, duration_s=4.0),
         FaultConfig(kind="servers_replaced", at_s=1.5, duration_s=1.0, share=0.3),
-        FaultConfig(kind="counter_emptied", at_s=3.0),
+        FaultConfig(kind="counter_cleared", at_s=3.0),
         duration_s=8.0,
     )
     assert simulation.metrics.service["lost"] == 0
@@ -77,13 +77,13 @@
         return simulation.metrics.messages["discovery"]["change_lists"]
 
     replaced = FaultConfig(kind="servers_replaced", at_s=1.0, duration_s=1.0, share=1.0)
-    partition = FaultConfig(kind="regions_apart", at_s=0.5, duration_s=6.0)
+    partition = FaultConfig(kind="regions_partitioned", at_s=0.5, duration_s=6.0)
     assert deltas_sent(replaced) > deltas_sent(partition, replaced) > 0
 
 
 def test_a_surge_raises_demand_while_it_lasts() -> None:
     quiet = run_with_faults()
-    surge = run_with_faults(FaultConfig(kind="surge", at_s=1.0, duration_s=4.0, share=1.0, factor=3.0))
+    surge = run_with_faults(FaultConfig(kind="demand_surge", at_s=1.0, duration_s=4.0, share=1.0, factor=3.0))
     ratio = surge.metrics.service["first_tries"] / quiet.metrics.service["first_tries"]
     assert 1.9 < ratio < 2.8  # three times for four seconds of six, from the next batch on
 
--- a/tests/lab/test_file_compatibility.py
+++ b/tests/lab/test_file_compatibility.py
@@ -10,6 +10,7 @@
 from __future__ import annotations
 
 import json
+import tomllib
 from io import StringIO
 from pathlib import Path
 from typing import Any
@@ -22,6 +23,7 @@
 from quota_gateway.lab.scaling.fleet_plan import load_fleet_plan
 from quota_gateway.lab.scaling.measured_slopes import MeasuredSlopes
 from quota_gateway.lab.scaling.slope_names import SlopeName
+from quota_gateway.lab.simulation.experiment_keys import FORMER_KEYS, result_section
 from quota_gateway.lab.simulation.experiment_validation import load_experiment
 from quota_gateway.lab.simulation.run_report import simulated_figures
 from quota_gateway.lab.simulation.run_tables import show_run, show_spread
@@ -47,7 +49,18 @@
 
 def test_an_experiment_file_of_before_is_read_with_every_key_in_its_place() -> None:
     experiment = load_experiment(FIXTURES / "experiment.toml")
-    assert json.loads(msgspec.json.encode(experiment)) == read("run.json")["experiment"]
+    assert json.loads(msgspec.json.encode(result_section(experiment))) == read("run.json")["experiment"]
+
+
+def test_every_former_key_is_the_name_of_a_present_field() -> None:
+    document = msgspec.to_builtins(load_experiment(FIXTURES / "experiment.toml"))
+    written = tomllib.loads((FIXTURES / "experiment.toml").read_text())
+    for table, keys in FORMER_KEYS.items():
+        former, present = (each[table] if table else each for each in (written, document))
+        rows = zip(former, present, strict=True) if isinstance(former, list) else [(former, present)]
+        pairs = [(row[old], field[new]) for row, field in rows for old, new in keys.items() if old in row]
+        assert pairs
+        assert all(json.loads(msgspec.json.encode(value)) == expected for expected, value in pairs)
 
 
 def test_a_run_gives_the_figures_of_before() -> None:
