--- a/quota_gateway/lab/scaling/process_costs.py
+++ b/quota_gateway/lab/scaling/process_costs.py
@@ -63,6 +63,7 @@
     """Run a real gateway to its first answer, with a cached list to which discovery has no changes."""
     discovery = FakeDiscovery()
     await discovery.start()
+    cached_list = endpoint_list(endpoint_records(count), discovery.endpoints.version, full=True)
     process = GatewayProcess("gateway", folder)
     try:
         process.start(
@@ -71,7 +72,7 @@
                 "seed": f"{POLICY_SEED:016x}",
                 "settings": gateway_settings(GATEWAYS),
                 "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 1024},
-                "known": json.loads(endpoint_list(endpoint_records(count), discovery.endpoints.version, full=True)),
+                "known": json.loads(cached_list),
             }
         )
         await process.wait_until_ready()
