--- a/quota_gateway/lab/cli/experiment_runs.py
+++ b/quota_gateway/lab/cli/experiment_runs.py
@@ -7,13 +7,13 @@
 from multiprocessing import get_context
 from typing import Any
 
-import msgspec
 import structlog
 
 from quota_gateway.lab.cli.logging_setup import configure_logging
 from quota_gateway.lab.cli.progress import progress_bar
 from quota_gateway.lab.machine import describe_machine
 from quota_gateway.lab.simulation.experiment import Experiment
+from quota_gateway.lab.simulation.experiment_keys import result_section
 from quota_gateway.lab.simulation.run_report import measured_figures, simulated_figures
 from quota_gateway.lab.simulation.simulation import Simulation
 
@@ -23,7 +23,7 @@
     configure_logging()  # this may be a process of its own
     log = structlog.get_logger()
     log.info(
-        "build",
+        "simulation_building",
         experiment=experiment.name,
         seed=seed,
         gateways=experiment.fleet.gateways,
@@ -33,12 +33,16 @@
     )
     simulation = Simulation(experiment, seed)
     cost = simulation.cost
-    log.info("play", seconds=experiment.duration_s, memory_mb=round(cost.memory_bytes["gateways"] / 1e6))
+    log.info(
+        "simulation_started",
+        seconds=experiment.duration_s,
+        memory_mb=round(cost.memory_bytes["gateways"] / 1e6),
+    )
     with progress_bar(experiment.name) as progress:
         simulation.run(progress)
-    log.info("done", wall_s=round(cost.wall_s, 2), events=simulation.scheduler.executed)
+    log.info("simulation_finished", wall_s=round(cost.wall_s, 2), events=simulation.scheduler.executed)
     return {
-        "experiment": msgspec.to_builtins(experiment),
+        "experiment": result_section(experiment),
         "seed": seed,
         "machine": describe_machine(),
         "simulated": simulated_figures(simulation),
--- a/quota_gateway/lab/scaling/network_costs.py
+++ b/quota_gateway/lab/scaling/network_costs.py
@@ -15,7 +15,7 @@
 from quota_gateway.lab.scaling.slope_names import SlopeName
 from quota_gateway.lab.simulation.wire_sizes import HTTP_HEADER_BYTES, call_get, endpoint_list
 from quota_gateway.network import resp
-from quota_gateway.network.commands import CommandParser, RequestLimits
+from quota_gateway.network.commands import CommandParser, RequestLimits, is_command
 from quota_gateway.network.discovery.http_connection import HttpConnection
 from quota_gateway.network.discovery.poll_schedule import LONG_POLL_S
 from quota_gateway.policy.gateway import stable
@@ -92,7 +92,7 @@
         parser = resp.Parser()
         parser.feed(command)
         words = parser.next_message()
-        assert isinstance(words, list)
+        assert is_command(words)
         command_parser.parse(words).encode(LEFT_MS)
 
     def read_response() -> None:
