--- a/tests/network/processes.py
+++ b/tests/network/gateway_processes.py
@@ -1,4 +1,4 @@
-"""Gateway processes for tests: started, limited, and waited for."""
+"""Gateway processes for tests: started, limited in their descriptors, and waited for."""
 
 from __future__ import annotations
 
@@ -7,13 +7,11 @@
 import resource
 import socket
 import sys
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from tests.network.harness import (
-    RespClient,
-)
+from tests.network.harness import RespClient
 
 ROOT = Path(__file__).resolve().parents[2]
 
@@ -25,7 +23,9 @@
         return int(found.getsockname()[1])
 
 
-async def start(path: Path, **environ: str) -> asyncio.subprocess.Process:
+async def start_gateway(
+    config_path: Path, before_exec: Callable[[], None] | None = None
+) -> asyncio.subprocess.Process:
     """The program as a process of its own."""
     return await asyncio.create_subprocess_exec(
         sys.executable,
@@ -33,11 +33,12 @@
         "quota_gateway.network",
         cwd=ROOT,
         stderr=asyncio.subprocess.PIPE,
-        env={**os.environ, "EDGE_CONFIG": str(path), **environ},
+        preexec_fn=before_exec,
+        env={**os.environ, "EDGE_CONFIG": str(config_path)},
     )
 
 
-async def patient(port: int) -> RespClient:
+async def connect_when_listening(port: int) -> RespClient:
     """A connection to a program that is starting."""
     while True:
         try:
@@ -47,21 +48,15 @@
 
 
 @asynccontextmanager
-async def limited(path: Path, sockets: int) -> AsyncIterator[asyncio.subprocess.Process]:
-    """The program with so many descriptors and no more, ended with the test whatever comes of that."""
+async def limited_gateway(
+    config_path: Path, max_descriptors: int
+) -> AsyncIterator[asyncio.subprocess.Process]:
+    """The program with so many descriptors and no more, killed at the end if it still runs."""
 
-    def limit() -> None:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets))
+    def limit_descriptors() -> None:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (max_descriptors, max_descriptors))
 
-    process = await asyncio.create_subprocess_exec(
-        sys.executable,
-        "-m",
-        "quota_gateway.network",
-        cwd=ROOT,
-        stderr=asyncio.subprocess.PIPE,
-        preexec_fn=limit,
-        env={**os.environ, "EDGE_CONFIG": str(path)},
-    )
+    process = await start_gateway(config_path, limit_descriptors)
     try:
         yield process
     finally:
--- a/tests/network/test_descriptors.py
+++ b/tests/network/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors: what idle clients hold must leave discovery, the counter and the servers theirs."""
+"""The descriptor budget: idle clients must leave discovery, the counter and the servers theirs."""
 
 from __future__ import annotations
 
@@ -6,11 +6,13 @@
 import json
 import os
 from pathlib import Path
+from typing import Any
 
 import pytest
 
 from quota_gateway.network.counter_client import CONNECTION_COUNT
 from quota_gateway.network.descriptors import RESERVED_DESCRIPTORS, allocate_descriptors
+from tests.network.gateway_processes import connect_when_listening, free_port, limited_gateway
 from tests.network.harness import (
     CUSTOMER,
     OK_RESPONSE,
@@ -25,20 +27,19 @@
     server_row,
     wait_until,
 )
-from tests.network.processes import free_port, limited, patient
 
 
-class Crowd:
-    """Clients that connect and say nothing, and come again when they are closed."""
+class IdleClients:
+    """Clients that connect, send nothing, and connect again when they are closed."""
 
     def __init__(self, port: int) -> None:
         self.port, self.accepted, self.closed = port, 0, 0
         self.tasks: list[asyncio.Task[None]] = []
 
-    def come(self, many: int) -> None:
-        self.tasks += [asyncio.ensure_future(self.rest()) for _ in range(many)]
+    def connect(self, count: int) -> None:
+        self.tasks += [asyncio.ensure_future(self.stay_connected()) for _ in range(count)]
 
-    async def rest(self) -> None:
+    async def stay_connected(self) -> None:
         while True:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
@@ -51,62 +52,90 @@
             self.closed += 1
             await asyncio.sleep(0.25)
 
-    def leave(self) -> None:
+    def cancel(self) -> None:
         for task in self.tasks:
             task.cancel()
 
 
+class Peers:
+    """A gateway's peers, of which only the server runs from the start."""
+
+    def __init__(self) -> None:
+        self.release = asyncio.Event()
+        self.counter = FakeRespServer(always_reply(b"$1\r\n1\r\n"))
+        self.server = FakeRespServer(self.reply)
+        self.discovery_port, self.counter_port, self.listen_port = free_port(), free_port(), free_port()
+        self.discovery: FakeDiscovery | None = None
+
+    async def reply(self, words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+        await self.release.wait()
+        return OK_RESPONSE
+
+    def config(self, sockets: int) -> dict[str, Any]:
+        rows = [server_row("old", free_port())]
+        raw = raw_config(self.discovery_port, self.counter_port, rows, self.listen_port)
+        return raw | {"limits": {"sockets": sockets}}
+
+    async def start_discovery(self) -> None:
+        """Starts discovery, until the gateway has its list and a watch is open."""
+        discovery = FakeDiscovery(endpoint_list_response(2, [server_row("new", self.server.port)]))
+        self.discovery = discovery
+        await discovery.start(self.discovery_port)
+        await wait_until(lambda: len(discovery.targets) == 2)
+
+    async def start_counter(self) -> None:
+        """Starts the counter, until the gateway has all its connections to it."""
+        await self.counter.start(self.counter_port)
+        await wait_until(lambda: len(self.counter.writers) >= CONNECTION_COUNT)
+
+    async def stop(self) -> None:
+        for peer in (self.counter, self.server, self.discovery):
+            if peer is not None:
+                await peer.stop()
+
+
 @pytest.mark.parametrize("sockets", [64, 128, 256])
 def test_discovery_counter_and_servers_get_theirs_when_idle_clients_fill_the_rest(
     tmp_path: Path, sockets: int
 ) -> None:
-    """All three come back while the crowd stays, and the servers hold as many requests as they may get."""
+    """All three come back while the clients stay; servers get as many requests at once as they may."""
 
     async def scenario() -> None:
-        release = asyncio.Event()
-
-        async def held(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
-            await release.wait()
-            return OK_RESPONSE
-
-        counts, server = FakeRespServer(always_reply(b"$1\r\n1\r\n")), FakeRespServer(held)
-        await server.start()
-        discovery_port, counter_port, listen = free_port(), free_port(), free_port()
+        peers = Peers()
+        await peers.server.start()
         path = tmp_path / "config.json"
-        raw = raw_config(discovery_port, counter_port, [server_row("old", free_port())], listen)
-        path.write_text(json.dumps(raw | {"limits": {"sockets": sockets}}))
-        async with limited(path, sockets) as process:
-            await (await patient(listen)).execute(b"PING")
-            crowd = Crowd(listen)
-            crowd.come(2 * sockets)
-            await wait_until(lambda: crowd.accepted > sockets and crowd.closed > sockets // 2)
-            discovery = FakeDiscovery(endpoint_list_response(2, [server_row("new", server.port)]))
-            await discovery.start(discovery_port)
-            await wait_until(lambda: len(discovery.targets) == 2)  # the list was read, and a watch is open
-            good = await RespClient.connect(listen)
-            most = min(allocate_descriptors(sockets).servers, 24)  # more at once the module holds for a surge
+        path.write_text(json.dumps(peers.config(sockets)))
+        async with limited_gateway(path, sockets) as process:
+            await (await connect_when_listening(peers.listen_port)).execute(b"PING")
+            idle_clients = IdleClients(peers.listen_port)
+            idle_clients.connect(2 * sockets)
+            await wait_until(lambda: idle_clients.accepted > sockets and idle_clients.closed > sockets // 2)
+            await peers.start_discovery()
+            client = await RespClient.connect(peers.listen_port)
+            most = min(allocate_descriptors(sockets).servers, 24)  # more at once the policy takes for a surge
             for number in range(most):
-                good.send(b"CALL.GET", CUSTOMER, b"%d" % number, READ_FIELDS)
-            await wait_until(lambda: len(server.received_commands()) == most)
-            await counts.start(counter_port)
-            await wait_until(lambda: len(counts.writers) >= CONNECTION_COUNT)
+                client.send(b"CALL.GET", CUSTOMER, b"%d" % number, READ_FIELDS)
+            await wait_until(lambda: len(peers.server.received_commands()) == most)
+            await peers.start_counter()
             assert len(os.listdir(f"/proc/{process.pid}/fd")) <= sockets
-            release.set()
-            assert [await good.read_reply() for _ in range(most)] == [b"value"] * most
-            crowd.leave()
+            peers.release.set()
+            assert [await client.read_reply() for _ in range(most)] == [b"value"] * most
+            idle_clients.cancel()
             process.terminate()
             _, err = await process.communicate()
             assert b"Too many open files" not in err
             assert b"Traceback" not in err
-        for peer in (counts, server, discovery):
-            await peer.stop()
+        await peers.stop()
 
     run_scenario(scenario())
 
 
 @pytest.mark.parametrize("sockets", [64, 100, 256, 672, 1024, 4096])
-def test_no_more_is_shared_out_than_there_is(sockets: int) -> None:
-    shares = allocate_descriptors(sockets)
-    assert shares.servers >= 4
-    assert shares.clients >= 4
-    assert RESERVED_DESCRIPTORS + shares.servers + shares.clients + shares.spare_clients <= sockets
+def test_no_more_descriptors_are_allocated_than_there_are(sockets: int) -> None:
+    descriptors = allocate_descriptors(sockets)
+    assert descriptors.servers >= 4
+    assert descriptors.clients >= 4
+    assert (
+        RESERVED_DESCRIPTORS + descriptors.servers + descriptors.clients + descriptors.spare_clients
+        <= sockets
+    )
--- a/tests/network/test_start.py
+++ b/tests/network/test_start.py
@@ -1,4 +1,4 @@
-"""A start: what it costs bounds how soon a process is ready on its part of a core."""
+"""What a start costs, which bounds how soon a process is ready on its share of a core."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 
 import pytest
 
+from tests.network.gateway_processes import connect_when_listening, free_port, limited_gateway
 from tests.network.harness import (
     FakeDiscovery,
     FakeRespServer,
@@ -17,13 +18,12 @@
     run_scenario,
     server_row,
 )
-from tests.network.processes import free_port, limited, patient
 
 READY_S = 10.0  # nine in ten restarted processes are ready within this
-LEAST_SHARE = 0.1  # of a core; a start may thus take a second of processor time
+MIN_CORE_SHARE = 0.1  # a start may thus take a second of processor time
 
 
-def spent_s(pid: int) -> float:
+def processor_time_s(pid: int) -> float:
     """Processor time of a process so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
@@ -34,37 +34,35 @@
 def test_a_start_is_ready_on_a_tenth_of_a_core(tmp_path: Path, servers: int, discovery_up: bool) -> None:
     async def scenario() -> None:
         rows = [server_row(f"s{i}", 1 + i) for i in range(servers)]
-        counts, discovery = (
-            FakeRespServer(always_reply(b"+PONG\r\n")),
-            FakeDiscovery(endpoint_list_response(2, rows)),
-        )
-        await counts.start()
-        listen, where = free_port(), free_port()
+        counter = FakeRespServer(always_reply(b"+PONG\r\n"))
+        discovery = FakeDiscovery(endpoint_list_response(2, rows))
+        await counter.start()
+        listen_port, discovery_port = free_port(), free_port()
         if discovery_up:
-            await discovery.start(where)
+            await discovery.start(discovery_port)
         path = tmp_path / "config.json"
-        path.write_text(json.dumps(raw_config(where, counts.port, rows, listen)))
-        async with limited(path, 1024) as process:
-            client = await patient(listen)
+        path.write_text(json.dumps(raw_config(discovery_port, counter.port, rows, listen_port)))
+        async with limited_gateway(path, 1024) as process:
+            client = await connect_when_listening(listen_port)
             assert await client.execute(b"PING") == b"PONG"
-            assert spent_s(process.pid) < READY_S * LEAST_SHARE
-        for peer in (counts, discovery):
+            assert processor_time_s(process.pid) < READY_S * MIN_CORE_SHARE
+        for peer in (counter, discovery):
             await peer.stop()
 
     run_scenario(scenario())
 
 
-def test_the_port_of_a_process_that_was_killed_is_taken_at_once(tmp_path: Path) -> None:
-    """Restarted under its address, with connections of before not yet forgotten by the kernel."""
+def test_a_start_takes_over_the_port_of_a_killed_process_at_once(tmp_path: Path) -> None:
+    """The kernel still holds connections of the killed process."""
 
     async def scenario() -> None:
-        listen = free_port()
+        listen_port = free_port()
         path = tmp_path / "config.json"
-        path.write_text(json.dumps(raw_config(free_port(), free_port(), [], listen)))
+        path.write_text(json.dumps(raw_config(free_port(), free_port(), [], listen_port)))
         for _ in range(3):
-            async with limited(path, 1024) as process:
-                held = [await patient(listen) for _ in range(5)]
-                assert await held[0].execute(b"PING") == b"PONG"
+            async with limited_gateway(path, 1024) as process:
+                clients = [await connect_when_listening(listen_port) for _ in range(5)]
+                assert await clients[0].execute(b"PING") == b"PONG"
                 process.kill()
                 await process.wait()
 
