--- a/quota_gateway/lab/simulation/server_attempts.py
+++ b/quota_gateway/lab/simulation/server_attempts.py
@@ -12,7 +12,7 @@
 from quota_gateway.lab.simulation.records import ClientAttempt, ServerAttempt
 from quota_gateway.lab.simulation.servers import ServerState, ServerTask
 from quota_gateway.lab.simulation.wire_sizes import VALUE_BYTES
-from quota_gateway.network.bridge import RESPONSE_MARGIN_S
+from quota_gateway.network.in_flight_request import RESPONSE_MARGIN_S
 from quota_gateway.policy_api.actions import StartAttempt
 from quota_gateway.policy_api.events import AttemptCompleted, CallOutcome
 
--- a/quota_gateway/network/attempt.py
+++ b/quota_gateway/network/attempt.py
@@ -1,9 +1,9 @@
 """An attempt: one request sent to one server, with exactly one result.
 
-    CONNECTING --write--> SENT --response------------------------> COMPLETED
-        |                  |                                           ^
-        |                  +--time-out, cancel, malformed--> CLOSING --+  once the connection is closed
-        +--no connection, time-out, cancel-----------------------------+
+    CONNECTING --write--> SENT --response, reset----------------> COMPLETED
+        |                  |                                          ^
+        |                  +--timeout, cancel, malformed--> CLOSING --+  once the connection is closed
+        +--no connection, timeout, cancel-----------------------------+
 
 A retry must never be in flight together with its predecessor. An attempt that is given up after its request
 was written therefore completes only once its connection is closed.
--- a/quota_gateway/network/bridge.py
+++ b/quota_gateway/network/bridge.py
@@ -21,6 +21,7 @@
 from quota_gateway.network.commands import RequestCommand
 from quota_gateway.network.counter_client import CounterClient
 from quota_gateway.network.discovery.endpoint_list import VersionedUpdate
+from quota_gateway.network.in_flight_request import InFlightRequest
 from quota_gateway.network.load_report import parse_load_report
 from quota_gateway.network.log_setup import EventMessage, log_event
 from quota_gateway.network.server_pool import ServerPools
@@ -54,7 +55,6 @@
 
 log = logging.getLogger("quota_gateway")
 
-RESPONSE_MARGIN_S = 0.01  # attempts time out this long before the client's deadline, to answer in time
 TIMER_RETRY_MS = 250.0  # a timer whose event made the policy fail fires again after this
 TIMER_SLACK_S = 0.001  # the loop's clock is coarse, and a timer must not fire early
 DID_NOT_RUN = (CallOutcome.REJECTED, CallOutcome.UNREACHABLE, CallOutcome.NOT_SENT)
@@ -67,46 +67,6 @@
         """Handle one event and return the actions to carry out, in order."""
 
 
-class InFlightRequest:
-    """A request that was accepted from a client and has not been answered.
-
-    `ref` identifies it towards the policy. The client's own request id does not: an attempt may outlive its
-    request, and the client may use the id again meanwhile.
-    """
-
-    __slots__ = (
-        "attempt",
-        "attempts_started",
-        "command",
-        "deadline",
-        "deadline_timer",
-        "may_have_run",
-        "ref",
-        "send_reply",
-    )
-
-    def __init__(
-        self, ref: str, command: RequestCommand, deadline: float, send_reply: Callable[[bytes], None]
-    ) -> None:
-        self.ref = ref
-        self.command = command
-        self.deadline = deadline  # the loop's time
-        self.send_reply = send_reply
-        self.attempts_started = 0
-        self.attempt: Attempt | None = None  # the one in flight
-        self.may_have_run = False  # by an attempt that has completed
-        self.deadline_timer: asyncio.TimerHandle | None = None
-
-    def may_run(self) -> bool:
-        """Tell whether an attempt may have run, or may still run."""
-        return self.may_have_run or (self.attempt is not None and self.attempt.may_have_run)
-
-    def attempt_timeout_s(self, now: float, timeout_ms: float) -> float:
-        """Return how long an attempt that starts now may take; a `timeout_ms` of 0 stands for no time-out."""
-        time_left_s = self.deadline - RESPONSE_MARGIN_S - now
-        return min(time_left_s, timeout_ms / 1000.0) if timeout_ms > 0 else time_left_s
-
-
 class PolicyBridge:
     """Hosts the policy: turns what happens on sockets into events, and actions into what happens there."""
 
@@ -223,7 +183,7 @@
         """Reject a request, or fail it if it may have run: a rejection promises that it has not."""
         request = self.in_flight.get(ref)
         if request is not None:
-            reply = resp.FAILED if request.may_run() else resp.encode_busy(retry_after_ms)
+            reply = resp.FAILED if request.may_have_run() else resp.encode_busy(retry_after_ms)
             self._answer(ref, reply)
 
     def _answer(self, ref: str, reply: bytes) -> None:
@@ -351,7 +311,7 @@
         attempt = self.attempts.pop((request.ref, number))
         request.attempt = None
         if result.outcome not in DID_NOT_RUN:
-            request.may_have_run = True
+            request.completed_attempt_may_have_run = True
         duration_ms = 1000.0 * (self.loop.time() - attempt.started_at)
         if result.outcome is CallOutcome.OK and result.value is not None:
             self._answer(request.ref, resp.encode_bulk(result.value))
--- a/quota_gateway/network/client_connection.py
+++ b/quota_gateway/network/client_connection.py
@@ -114,7 +114,7 @@
         self.processing = Processing.NONE
         self.write_buffer_full = False  # the client does not read its replies
         self.reading_paused = False
-        # What the time-outs and limits go by. Times are the loop's.
+        # What the timeouts and limits go by. Times are the loop's.
         self.has_sent_command = False
         self.last_activity = 0.0
         self.partial_command_since: float | None = None
@@ -334,7 +334,7 @@
         self.flush()
 
     def close_if_timed_out(self, now: float, idle_timeout_s: float) -> None:
-        """Close the connection if a time-out has passed: a client that has vanished sends nothing."""
+        """Close the connection if a timeout has passed: a client that has vanished sends nothing."""
         if self.transport is None:
             return
         inactive_s = now - self.last_activity
--- a/quota_gateway/network/pending_reply.py
+++ b/quota_gateway/network/pending_reply.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from quota_gateway.network.bridge import InFlightRequest
+from quota_gateway.network.in_flight_request import InFlightRequest
 
 
 class PendingReply:
--- a/quota_gateway/network/server_pool.py
+++ b/quota_gateway/network/server_pool.py
@@ -20,7 +20,7 @@
 
 
 def idle_limit_s(server_idle_timeout_s: float) -> float:
-    """Return how long a connection may be idle, given the server's own time-out; always less than that."""
+    """Return how long a connection may be idle, given the server's own timeout; always less than that."""
     return server_idle_timeout_s - min(IDLE_MARGIN_S, 0.5 * server_idle_timeout_s)
 
 
--- a/tests/network/harness.py
+++ b/tests/network/harness.py
@@ -66,7 +66,7 @@
 
 
 def run_scenario(scenario: Coroutine[Any, Any, None]) -> None:
-    """Run a scenario on uvloop, as the gateway does; the time-out only keeps a broken test from hanging."""
+    """Run a scenario on uvloop, as the gateway does; the timeout only keeps a broken test from hanging."""
     uvloop.run(asyncio.wait_for(scenario, 60.0))
 
 
--- a/tests/network/test_attempt.py
+++ b/tests/network/test_attempt.py
@@ -1,4 +1,4 @@
-"""Attempts over loopback sockets: outcomes, retries, cancels, time-outs."""
+"""Attempts over loopback sockets: outcomes, retries, cancels, timeouts."""
 
 from __future__ import annotations
 
@@ -119,7 +119,7 @@
 @pytest.mark.parametrize(("reply", "outcome"), RESPONSES)
 def test_each_response_completes_the_attempt_once(reply: Reply, outcome: CallOutcome) -> None:
     async def scenario() -> None:
-        # Only the silent server gets a time-out, so that a slow machine causes no other.
+        # Only the silent server gets a timeout, so that a slow machine causes no other.
         script = ScriptedPolicy(forward_to("s0", 200.0 if outcome is CallOutcome.TIMEOUT else 0.0))
         async with running_gateway(reply, policy=script) as gateway:
             client = await gateway.connect_client()
--- a/tests/network/test_listener.py
+++ b/tests/network/test_listener.py
@@ -1,4 +1,4 @@
-"""The listener over loopback sockets: time-outs, the limit of connections, eviction."""
+"""The listener over loopback sockets: timeouts, the limit of connections, eviction."""
 
 from __future__ import annotations
 
