--- a/quota_gateway/lab/cli/main.py
+++ b/quota_gateway/lab/cli/main.py
@@ -7,9 +7,7 @@
 import typer
 
 from quota_gateway.lab.cli import demo, lab, load
-from quota_gateway.lab.cli.errors import print_error
-
-EXIT_BAD_INPUT = 2
+from quota_gateway.lab.cli.errors import EXIT_BAD_INPUT, print_error
 
 app = typer.Typer(name="quota-gateway", no_args_is_help=True, add_completion=False)
 demo.register(app)
--- a/quota_gateway/lab/fakes/counter.py
+++ b/quota_gateway/lab/fakes/counter.py
@@ -5,7 +5,7 @@
 An amount is added when the call is served, whether or not the caller is still connected.
 
 Unlike the real counter it limits connections over all gateways together, as those on one loopback address
-cannot be told apart, and it does not reject calls before a run begins.
+cannot be distinguished, and it does not reject calls before a run begins.
 """
 
 from __future__ import annotations
--- a/quota_gateway/lab/fakes/endpoint_history.py
+++ b/quota_gateway/lab/fakes/endpoint_history.py
@@ -73,7 +73,7 @@
         return EndpointList(self.version, False, changed)
 
     def _drop_old_changes(self) -> None:
-        """Drop servers that are gone since long; a caller with an older version gets a snapshot."""
+        """Drop servers that are gone for a long time; a caller with an older version gets a snapshot."""
         self._oldest_version = max(self._oldest_version, self.version - HISTORY_VERSIONS)
         dropped = [
             server_id
--- a/quota_gateway/lab/load/connections.py
+++ b/quota_gateway/lab/load/connections.py
@@ -30,7 +30,7 @@
 
 
 class RequestTracker(Protocol):
-    """Who is told of each request's end."""
+    """Receives the end of each request that a connection carried."""
 
     @property
     def stopping(self) -> bool:
--- a/quota_gateway/lab/load/gateway_process.py
+++ b/quota_gateway/lab/load/gateway_process.py
@@ -127,7 +127,7 @@
         return " ".join(text.split())[-LOG_TAIL_CHARACTERS:] or "nothing in its log"
 
     def cpu_time_s(self) -> float | None:
-        """Return the CPU time of its threads so far; None where the kernel doesn't tell."""
+        """Return the CPU time of its threads so far; None where the kernel does not report it."""
         try:
             paths = list(Path(f"/proc/{self._pid}/task").glob("*/schedstat"))
             nanoseconds = sum(int(path.read_text().split()[0]) for path in paths)
@@ -136,7 +136,7 @@
         return nanoseconds / NANOSECONDS_PER_SECOND if paths else None
 
     def peak_memory_mib(self) -> float | None:
-        """Return its peak resident memory so far; None where the kernel doesn't tell."""
+        """Return its peak resident memory so far; None where the kernel does not report it."""
         try:
             status = Path(f"/proc/{self._pid}/status").read_text()
             (line,) = (line for line in status.splitlines() if line.startswith("VmHWM:"))
--- a/quota_gateway/lab/load/quota_audit.py
+++ b/quota_gateway/lab/load/quota_audit.py
@@ -3,8 +3,8 @@
 The rules of WIRE, section 8 (`packages`): a customer's token bucket starts full, holds `most_at_once` units
 and fills by `per_second`. A request takes its units when its first attempt has reached a server, and is
 within quota if the bucket held them then; one that is forwarded over quota takes nothing. No gateway
-can know the bucket's level of the moment, so some rejections within quota are unavoidable; their number tells
-gateways apart.
+can know the bucket's level of the moment, so some rejections within quota are unavoidable; their number
+shows how much one gateway is better at it than another.
 """
 
 from __future__ import annotations
--- a/quota_gateway/lab/load/trial_result.py
+++ b/quota_gateway/lab/load/trial_result.py
@@ -24,7 +24,7 @@
 
 
 class GatewayResult(msgspec.Struct, kw_only=True):
-    """One gateway's part of a trial. None where the kernel doesn't tell."""
+    """One gateway's part of a trial. None where the kernel does not report it."""
 
     name: str
     requests: int
--- a/quota_gateway/lab/scaling/process_costs.py
+++ b/quota_gateway/lab/scaling/process_costs.py
@@ -71,7 +71,9 @@
                 "seed": f"{POLICY_SEED:016x}",
                 "settings": gateway_settings(GATEWAYS),
                 "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 1024},
-                "known": json.loads(endpoint_list(endpoint_records(count), discovery.endpoints.version, full=True)),
+                "known": json.loads(
+                    endpoint_list(endpoint_records(count), discovery.endpoints.version, full=True)
+                ),
             }
         )
         await process.wait_until_ready()
--- a/tests/lab/fakes/test_endpoint_history.py
+++ b/tests/lab/fakes/test_endpoint_history.py
@@ -7,7 +7,7 @@
 from quota_gateway.lab.fakes.endpoint_history import EndpointHistory, ListedServer, ListedState
 
 
-def test_servers_gone_since_long_are_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_servers_gone_for_many_versions_are_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("quota_gateway.lab.fakes.endpoint_history.HISTORY_VERSIONS", 3)
     history = EndpointHistory()
     for number in range(10):
