--- a/quota_gateway/lab/fakes/resp_server.py
+++ b/quota_gateway/lab/fakes/resp_server.py
@@ -1,4 +1,7 @@
-"""Fakes that speak RESP2: commands are read one by one and replies go out in their order."""
+"""Fakes that speak RESP2: commands are read one by one and replies go out in their order.
+
+They share no code with the gateway (`quota_gateway.network.resp`), so that a fault in its encoders shows.
+"""
 
 from __future__ import annotations
 
