--- a/quota_gateway/network/__main__.py
+++ b/quota_gateway/network/__main__.py
@@ -24,7 +24,7 @@
 USAGE = """\
 usage: python -m quota_gateway.network
 
-One gateway: takes requests over RESP2, keeps customers' quotas over all gateways together, chooses a
+One gateway: takes requests over RESP2, enforces customers' quotas over all gateways together, chooses a
 server and gives each request one answer. It takes no options; these variables configure it:
 
   EDGE_CONFIG     path of the JSON configuration (required); it holds "settings" and may hold all that follows
@@ -32,11 +32,11 @@
   EDGE_LISTEN     address and port to listen on (HOST:PORT), where the file has no "listen"
   EDGE_DISCOVERY  address and port of discovery (HOST:PORT), where the file has no "discovery"
 
-SIGHUP reads the addresses in the file again; SIGTERM ends it once what it holds is answered. It logs
-to standard error. Exit status: 0 after a planned end, 1 if it can't start, 2 for a bad configuration or
+SIGHUP reloads the addresses of discovery and counter from the file; SIGTERM shuts it down gracefully. It
+logs to standard error. Exit status: 0 after a shutdown, 1 if it can't start, 2 for a bad configuration or
 argument.
 
-To try it with stand-ins of servers, counter and discovery on loopback: quota-gateway demo
+To try it with fake servers, counter and discovery on loopback: quota-gateway demo
 """
 
 
--- a/quota_gateway/network/counter_client.py
+++ b/quota_gateway/network/counter_client.py
@@ -49,7 +49,8 @@
         """Add an amount to a key, which expires `ttl_ms` after its first call."""
         connection = self.connections[key % CONNECTION_COUNT]
         now = self._loop.time()
-        self._abandon_draining_calls(key)
+        if self._draining:
+            self._abandon_draining_calls(key)
         call = PendingCall(now, key, on_complete)
         if not connection.is_ready():
             call.complete(now, CallOutcome.UNREACHABLE)  # nothing was written, so nothing was counted
@@ -59,8 +60,6 @@
 
     def _abandon_draining_calls(self, key: int) -> None:
         """Complete what is pending for a key at an earlier address: replies for one key keep their order."""
-        if not self._draining:
-            return
         for connection in self._draining:
             connection.abandon_calls(key)
         self._draining = [connection for connection in self._draining if connection.pending_calls]
--- a/quota_gateway/network/counter_connection.py
+++ b/quota_gateway/network/counter_connection.py
@@ -20,7 +20,7 @@
 # The counter closes a connection that has been idle for about 10 s or less (PROTOCOL, the counter).
 HEARTBEAT_INTERVAL_S = 3.0
 HEARTBEAT_CHECK_INTERVAL_S = 0.5
-SILENCE_TIMEOUT_S = 1.5  # a reply this late means a peer that vanished; the connection is opened anew
+SILENCE_TIMEOUT_S = 1.5  # a reply this late means a peer that vanished; the connection is opened again
 MIN_RECONNECT_DELAY_S = 0.05
 MAX_RECONNECT_DELAY_S = 1.0
 
@@ -32,7 +32,7 @@
 
 
 class ConnectionState(Enum):
-    """The life of a connection.
+    """The lifecycle of a connection.
 
     CONNECTING and READY alternate for as long as the connection is used; a lost one is opened again. DRAINING
     and CLOSED are final.
@@ -104,7 +104,7 @@
         """Complete a call that has no reply in time.
 
         Its reply may still come, unless one that is incomplete and may never end stands before it: then the
-        connection is opened anew.
+        connection is opened again.
         """
         call.complete(self._loop.time(), CallOutcome.TIMEOUT)
         if self._parser.buffered_bytes():
--- a/quota_gateway/network/discovery/http_connection.py
+++ b/quota_gateway/network/discovery/http_connection.py
@@ -53,7 +53,7 @@
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came."""
+        """Parse received bytes."""
         self._receive(data)
 
     def eof_received(self) -> None:
--- a/quota_gateway/network/discovery/poll_schedule.py
+++ b/quota_gateway/network/discovery/poll_schedule.py
@@ -21,7 +21,7 @@
 NOTIFICATION_DEADLINE_S = 6.0  # PROTOCOL, Figures; STANDING
 NOTIFICATION_DEADLINE_AFTER_RELOAD_S = 4.0  # after SIGHUP, where that moved discovery (DAYS; STANDING)
 
-# Long polls. What a poll waits for counts as notified 2 s after that wait (PROTOCOL, Figures).
+# Long polls. A change during one counts as notified 2 s after its wait at the latest (PROTOCOL, Figures).
 LONG_POLL_S = 4.0
 FIRST_LONG_POLL_S = 0.1  # of the first poll and of one after a failure: it confirms the list soon
 RESPONSE_GRACE_S = 1.0  # a response later than this past its wait means an agent that has gone silent
--- a/quota_gateway/network/discovery/watch.py
+++ b/quota_gateway/network/discovery/watch.py
@@ -45,7 +45,7 @@
         schedule: PollSchedule,
     ) -> None:
         self.first_response = asyncio.Event()  # set by the first readable response
-        self.connection: HttpConnection | None = None  # what comes from any other is not acted on
+        self.connection: HttpConnection | None = None  # events of any other are ignored
         self._loop = loop
         self._address = address
         self._on_update = on_update
@@ -57,7 +57,7 @@
         self._timer: asyncio.TimerHandle | None = None  # of the response awaited, or of the next poll
 
     def start(self, version: int | None = None) -> None:
-        """Connect and poll for what is newer than `version`; by default than the version held."""
+        """Connect and poll for changes since `version`, by default since the version held."""
         if version is not None:
             self._version = version
         self._connect_task = self._loop.create_task(self._connect())
@@ -158,7 +158,7 @@
         for _ in self._apply_update(update):
             await asyncio.sleep(0)
         if connection is self.connection:
-            # What discovery got while the list was parsed is not in it.
+            # Changes that discovery got while the list was parsed are not in it.
             self._continue_from(update, confirmed_at=received_at)
         else:
             self._version = update.version  # the next poll is under way on another connection
@@ -176,7 +176,7 @@
         return self._on_update(update)
 
     def _continue_from(self, update: VersionedUpdate, confirmed_at: float) -> None:
-        """Poll for what is newer than an update that has been applied."""
+        """Poll for changes since an update that has been applied."""
         self._version = update.version
         empty = not update.update.endpoints
         delay = self._schedule.delay_after_response_s(empty, self._loop.time() - self._polled_at)
--- a/quota_gateway/settings.py
+++ b/quota_gateway/settings.py
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a gateway knows at start."""
+    """The settings that the policy decides by, fixed at the start."""
 
     zone: str
     gateway_count: int
--- a/tests/network/test_counter_connection.py
+++ b/tests/network/test_counter_connection.py
@@ -1,4 +1,4 @@
-"""One connection to the shared counter: reconnection, heartbeat, and the states of its life."""
+"""One connection to the shared counter: reconnection, heartbeat, and lifecycle."""
 
 from __future__ import annotations
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -76,7 +76,7 @@
     assert [(a[1], a[2], a[4]) for a in sent] == [(3, "r3", "s3:1"), (5, "r5", "s5:1")]
 
 
-def test_every_event_is_taken() -> None:
+def test_every_event_is_decoded() -> None:
     host = started(3)
     actions(host, 20.0, accept(3, "r"))
     pressure = [9, 4.0, None]
@@ -101,17 +101,19 @@
 
 
 @pytest.mark.parametrize(
-    "word", ["pass", "fault", "no_room", "too_slow", "no_route", "cut", "undone", "stale_send"]
+    "outcome", ["pass", "fault", "no_room", "too_slow", "no_route", "cut", "undone", "stale_send"]
 )
-def test_every_outcome_is_taken(word: str) -> None:
+def test_every_outcome_is_decoded(outcome: str) -> None:
     host = started(3)
     actions(host, 20.0, accept(3, "r"))
-    answer = actions(host, 30.0, ["ended", 3, "r", 0, "s3:1", word, 10.0, word == "pass", 0, 0, [1, 2, 3]])
-    assert all(a[0] != "die" for a in answer)
+    replies = actions(
+        host, 30.0, ["ended", 3, "r", 0, "s3:1", outcome, 10.0, outcome == "pass", 0, 0, [1, 2, 3]]
+    )
+    assert all(a[0] != "die" for a in replies)
 
 
-def test_every_action_is_written() -> None:
-    made: list[tuple[Action, list[Any]]] = [
+def test_every_action_is_encoded() -> None:
+    encoded: list[tuple[Action, list[Any]]] = [
         (StartAttempt("r", "s", 5.0), ["hand_off", 1, "r", 5.0, "s"]),
         (Reject("r", 9.0), ["bounce", 1, "r", 9.0]),
         (Fail("r"), ["give_up", 1, "r"]),
@@ -121,7 +123,7 @@
         (WatchEndpoints(), ["tail", 1, True]),
         (LogEvent("x", (("y", "a b"),)), ["say_log", 1, 'event=x y="a b"']),
     ]
-    assert [encode_action(1, action) for action, _ in made] == [wire for _, wire in made]
+    assert [encode_action(1, action) for action, _ in encoded] == [wire for _, wire in encoded]
 
 
 @pytest.mark.parametrize(
@@ -136,7 +138,7 @@
         '{"moment_ms": 1, "inbox": [7]}',
     ],
 )
-def test_malformed_line_is_said_and_ends(text: str, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_malformed_line_is_reported_and_ends_it(text: str, capsys: pytest.CaptureFixture[str]) -> None:
     out = io.StringIO()
     assert serve([text], out) == 1
     assert out.getvalue() == ""
