--- a/quota_gateway/lab/simulation/records.py
+++ b/quota_gateway/lab/simulation/records.py
@@ -47,9 +47,7 @@
     demand_per_s: float  # first attempts
     quota_level: float  # units in its token bucket
     hard_limit_level: float  # units left below the hard limit
-    # Level of the token bucket of one gateway that sees all first attempts: what service is measured by
-    # (BENCH).
-    reference_level: float
+    reference_level: float  # token bucket of one gateway that sees all first attempts, the reference (BENCH)
     refilled_at: float
     spike_demand_per_s: float = 0.0  # during a spike; 0: it has none
 
@@ -80,7 +78,7 @@
         self.cumulative_shares = np.cumsum(demands) / max(self.demand_per_s, 1e-12)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, eq=False)
 class ClientRequest:
     """What a client wants, over all its attempts."""
 
--- a/quota_gateway/lab/simulation/simulation.py
+++ b/quota_gateway/lab/simulation/simulation.py
@@ -31,7 +31,7 @@
 PROGRESS_INTERVAL_MS = 500.0  # simulated time between two reports of progress
 MAX_ATTEMPTS = 5  # brief 7.5
 MAX_RETRY_AFTER_MS = 500.0  # WIRE settings, `max_retry_after_ms`
-GC_THRESHOLDS = (20_000, 20, 20)  # those of the real program
+GC_THRESHOLDS = (20_000, 20, 20)  # as in the gateway's process
 PAGE_BYTES = resource.getpagesize()
 
 
@@ -66,6 +66,8 @@
         self.metrics = Metrics()
         self.processor_time = ProcessorTime()
         self.pools = [Pool() for _ in range(experiment.pool_count)]
+        regions = experiment.fleet.regions
+        self._locations = [Location(zone, i % regions) for i, zone in enumerate(experiment.zone_names)]
         self.environment = self._build_environment()
         self.network = self.environment.network
         self.discovery = self.environment.discovery
@@ -84,7 +86,7 @@
         arrivals.start(START_MS + duration_ms)
         FaultInjector(environment, self.gateways).start()
         end = START_MS + duration_ms + TAIL_MS
-        with _collector_of_the_real_program():
+        with _gateway_gc_settings():
             wall, processor = time.perf_counter(), time.process_time()
             while self.scheduler.now < end:
                 self.scheduler.run_until(min(end, self.scheduler.now + PROGRESS_INTERVAL_MS))
@@ -94,20 +96,15 @@
             self.cost.processor_s = time.process_time() - processor
             self.cost.memory_bytes["end"] = resident_bytes()
 
-    def _locations(self) -> list[Location]:
-        """Return one location for each zone."""
-        regions = self.experiment.fleet.regions
-        return [Location(zone, i % regions) for i, zone in enumerate(self.experiment.zone_names)]
-
     def _location_of(self, pool: int, number: int) -> Location:
         """Return where the member of a pool stands: a pool lies in one region, over all its zones in turn."""
         region = pool % self.experiment.fleet.regions
-        in_region = [location for location in self._locations() if location.region == region]
+        in_region = [location for location in self._locations if location.region == region]
         return in_region[number % len(in_region)]
 
     def _build_environment(self) -> Environment:
         experiment, seed = self.experiment, self.seed
-        scheduler, metrics, locations = self.scheduler, self.metrics, self._locations()
+        scheduler, metrics, locations = self.scheduler, self.metrics, self._locations
         network = Network(experiment.network, seed)
         regions = experiment.fleet.regions
         counter_locations = [
@@ -187,8 +184,8 @@
 
 
 @contextmanager
-def _collector_of_the_real_program() -> Iterator[None]:
-    """Run with the garbage collector set as in the gateway's process; what was built lives to the end."""
+def _gateway_gc_settings() -> Iterator[None]:
+    """Set the garbage collector as in the gateway's process; what was built is never freed."""
     gc.collect()
     gc.freeze()
     thresholds = gc.get_threshold()
