--- a/quota_gateway/lab/scaling/capacity.py
+++ b/quota_gateway/lab/scaling/capacity.py
@@ -17,7 +17,9 @@
 
 from quota_gateway.lab.simulation.experiment import Count, Part, Positive, Problem, Share
 from quota_gateway.network.discovery.watch import WAIT_S
-from quota_gateway.policy.gateway import IDLE_MS, SUBSET, TICK_MS
+from quota_gateway.policy.endpoints import SUBSET_SIZE
+from quota_gateway.policy.gateway import TICK_MS
+from quota_gateway.policy.quota import CUSTOMER_IDLE_MS
 
 DAY_S = 86_400.0
 HEADERS = 52  # bytes of IP and TCP round a small message, with time stamps: RFC 791, 9293, 7323
@@ -144,7 +146,9 @@
     def __init__(self, made: Outlook, slopes: Slopes) -> None:
         self.made, self.size, self.limits, self.slopes = made, made.size, made.limits, slopes
         self.requests = self.size.requests_per_s / self.size.gateways  # a second, of one gateway
-        self.customers = min(self.size.tenants, self.requests * IDLE_MS / 1000.0)  # known to one gateway
+        self.customers = min(
+            self.size.tenants, self.requests * CUSTOMER_IDLE_MS / 1000.0
+        )  # known to one gateway
         self.wished = self.requests * made.counter.calls_per_request
         self.borne = made.counter.calls_per_machine_s * self.limits.control_machines / self.size.gateways
 
@@ -195,7 +199,7 @@
                 decision,
                 "ms",
                 self.limits.added_ms,
-                f"subset of {SUBSET}, sample of the index beyond it",
+                f"subset of {SUBSET_SIZE}, sample of the index beyond it",
             ),
             Line(
                 "gateway",
--- a/quota_gateway/lab/scaling/slopes.py
+++ b/quota_gateway/lab/scaling/slopes.py
@@ -33,7 +33,8 @@
 from quota_gateway.network import resp
 from quota_gateway.network.commands import Bounds, Catalogue
 from quota_gateway.network.discovery.watch import LONG_BODY, WAIT_S, Exchange, LongList, read_list
-from quota_gateway.policy.gateway import Gateway, stable
+from quota_gateway.policy.gateway import Gateway
+from quota_gateway.policy.hash_ring import stable_hash
 from quota_gateway.policy_api.actions import IncrementCounter, StartAttempt
 from quota_gateway.policy_api.endpoints import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from quota_gateway.policy_api.events import AttemptCompleted, CallOutcome, CounterReply, Request, TimerFired
@@ -341,7 +342,7 @@
         news.add(count, [float(call + HTTP_HEAD + len(listing(entries(count), 41_000, False)))])
     asked = Slope("counter: call written", "bytes", "calls")
     answer = Slope("counter: answer", "bytes", "calls")
-    names = [stable(f"{i * 7919:016x}/{60_000 * i}") for i in range(NAMES)]
+    names = [stable_hash(f"{i * 7919:016x}/{60_000 * i}") for i in range(NAMES)]
     asked.add(1, [float(len(resp.command(b"INCRTTL", b"%d" % n, b"2.000", b"60000"))) for n in names])
     answer.add(1, [float(len(resp.bulk(b"%.7g" % total))) for total in (1, 42.5, 1234.567)])
     return [idle, quiet, news, asked, answer]
--- a/tests/lab/test_lab_run.py
+++ b/tests/lab/test_lab_run.py
@@ -18,7 +18,7 @@
 from quota_gateway.lab.simulation.scheduler import Kernel, stream
 from quota_gateway.lab.simulation.simulation import World
 from quota_gateway.lab.simulation.wire_sizes import HTTP_CALL, incrttl
-from quota_gateway.policy.gateway import stable
+from quota_gateway.policy.hash_ring import stable_hash
 from quota_gateway.policy_api.endpoints import EndpointState, EndpointUpdate
 
 SMALL = """
@@ -255,7 +255,7 @@
 def test_the_messages_that_are_measured_are_those_that_the_lab_books() -> None:
     by_name = {slope.name: slope for slope in slopes.messages()}
     (asked,) = by_name["counter: call written"].points.values()
-    name = stable(f"{0:016x}/0")
+    name = stable_hash(f"{0:016x}/0")
     assert asked[0] <= len(incrttl(name, 2.0, 60_000.0)) <= asked[-1] <= asked[0] + 3
     assert len(slopes.watch_call()) == pytest.approx(HTTP_CALL, abs=4)
     assert slopes.watch_call().startswith(b"GET /v1/servers?since=41000&timeout_ms=4000 HTTP/1.1\r\n")
--- a/tests/policy/test_client_disconnect.py
+++ b/tests/policy/test_client_disconnect.py
@@ -15,14 +15,14 @@
     actions = rig.answer(call)
     assert [(a.key, a.amount) for a in only(actions, IncrementCounter)] == [(call.key, -call.amount)]
     assert not only(actions, StartAttempt)
-    assert not rig.gateway.left
+    assert not rig.gateway.refunds
 
 
 def test_a_held_request_whose_client_left_is_not_sent_when_a_server_comes_up() -> None:
     rig = Rig(settings=SETTINGS)
     name, actions = rig.ask()
     assert not only(actions, StartAttempt)
-    assert rig.gateway.held == [name]
+    assert rig.gateway.queued == [name]
     rig.feed(ClientDisconnected(name))
     actions = rig.feed(EndpointUpdate(UpdateKind.SNAPSHOT, entries(4))) + rig.advance(1000.0)
     assert not only(actions, StartAttempt)
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -79,7 +79,7 @@
         rig.ask(plan="rate")
         rig.answer_calls()
         rig.advance(25.0)
-    assert rig.gateway.quota.mute
+    assert not rig.gateway.counter_sync.health.available
     before = len(rig.log)
     for _ in range(100):
         rig.ask(plan="rate")
@@ -90,7 +90,7 @@
     rig.advance(600.0)
     rig.ask(plan="rate")
     rig.answer_calls()
-    assert not rig.gateway.quota.mute
+    assert rig.gateway.counter_sync.health.available
 
 
 def test_flush_is_no_fall_in_demand() -> None:
@@ -103,7 +103,7 @@
         rig.answer_calls()
         rig.advance(50.0)
     customer = rig.gateway.quota.customers["c"]
-    before, window = customer.others, customer.window
+    before, window = customer.remote_usage, customer.window_start_ms
     rig._totals.clear()
     rig.others = -1.0
     heard = rig._answered
@@ -111,9 +111,9 @@
         rig.ask(plan="rate")
         rig.advance(20.0)
         rig.answer_calls()
-    assert customer.window == window
+    assert customer.window_start_ms == window
     assert before > 0
-    assert customer.others >= 0.5 * before
+    assert customer.remote_usage >= 0.5 * before
 
 
 def test_refusing_gateway_hears_that_the_others_stopped() -> None:
@@ -283,8 +283,9 @@
         rig.end(name, 0, CallOutcome.ERROR if i % 2 else CallOutcome.OK, 20.0)
         rig.advance(20.0)
     rig.advance(300.0)
-    for server in rig.gateway.fleet.servers.values():
-        server.queue, server.queue_at = (0.0 if server.entry.server_id == "s1" else 30.0), rig.now
+    for server in rig.gateway.load_balancer.endpoints.servers.values():
+        queue = 0.0 if server.endpoint.server_id == "s1" else 30.0
+        server.reported_queue, server.reported_at_ms = queue, rig.now
     names = [rig.ask("charge")[0] for _ in range(3)]
     assert [rig.sent[name][0] for name in names].count("s1") >= 2
 
@@ -294,7 +295,7 @@
     rig.warm_up()
     share_of(rig, "s0", 100, CallOutcome.ERROR, 1.0)
     rig.feed(EndpointUpdate(UpdateKind.DELTA, (Endpoint("s0", "a", started_ms=rig.now),)))
-    assert rig.gateway.fleet.servers["s0"].fails == 0.0
+    assert rig.gateway.load_balancer.endpoints.servers["s0"].failure_score == 0.0
 
 
 def test_load_report_is_heeded() -> None:
@@ -399,5 +400,5 @@
     rig.ending = CallOutcome.TIMEOUT
     for _ in range(5):
         second()
-    assert rig.gateway.quota.mute
+    assert not rig.gateway.counter_sync.health.available
     assert least <= sum(second() for _ in range(18)) <= most  # even parts would let 18 to 21 go
--- a/tests/policy/test_hundreds.py
+++ b/tests/policy/test_hundreds.py
@@ -93,10 +93,10 @@
 def test_a_refusal_for_want_of_capacity_is_taken_off_the_count_too() -> None:
     rig = Rig(entries(4), MANY)
     first_word(rig)
-    rig.gateway.pressure.capacity = 0.0
-    rig.gateway.pressure.credit.clear()
-    rig.gateway.pressure.last[1.0] = 100.0
-    rig.gateway.pressure.credit[1.0] = 0.0
+    rig.gateway.capacity.capacity = 0.0
+    rig.gateway.capacity.credit.clear()
+    rig.gateway.capacity.demand[1.0] = 100.0
+    rig.gateway.capacity.credit[1.0] = 0.0
     _, actions = rig.ask(plan="rate", spread=200)
     assert only(actions, Reject)
     assert [a.amount for a in only(actions, IncrementCounter)] == [1.0, -1.0]
@@ -145,7 +145,7 @@
     rig.ending = CallOutcome.UNREACHABLE
     for i in range(6):
         rig.end(rig.ask(plan="rate", customer=f"x{i}", spread=200)[0], 0, CallOutcome.OK)
-    assert rig.gateway.quota.mute
+    assert not rig.gateway.counter_sync.health.available
     went = 0
     for _ in range(40):
         name, actions = rig.ask(plan="rate", spread=200)
@@ -167,8 +167,8 @@
         if not restarted:
             rig.feed(EndpointUpdate(UpdateKind.DELTA, (cold,)))
         for _ in range(2):  # more than the two warm servers get at ease
-            for server in rig.gateway.fleet.servers.values():
-                server.out += 0 if server.entry.server_id == "cold" else 8
+            for server in rig.gateway.load_balancer.endpoints.servers.values():
+                server.in_flight += 0 if server.endpoint.server_id == "cold" else 8
         _, actions = rig.ask()
         total += sum(send.server_id == "cold" for send in only(actions, StartAttempt))
     # Warm at ten a second, it starts at a quarter and falls at twice that, over a second.
@@ -184,7 +184,7 @@
         if only(actions, StartAttempt):
             rig.end(name, 0, CallOutcome.OK, 1500.0)
         rig.answer_calls()
-    assert rig.gateway.pressure.capacity < math.inf
+    assert rig.gateway.capacity.capacity < math.inf
 
 
 def test_a_handful_out_is_no_backlog() -> None:
@@ -198,7 +198,7 @@
 def test_a_spread_beyond_the_gateways_is_read_as_all_of_them() -> None:
     rig = Rig(entries(4), SETTINGS)
     rig.ask(plan="rate", spread=5000)
-    assert rig.gateway.quota.customers["c"].spread == SETTINGS.gateway_count
+    assert rig.gateway.quota.customers["c"].gateway_count == SETTINGS.gateway_count
 
 
 @pytest.mark.parametrize("counter", [CallOutcome.OK, CallOutcome.REJECTED, CallOutcome.UNREACHABLE])
@@ -253,7 +253,7 @@
 def test_unsure_requests_without_a_word_keep_to_the_part() -> None:
     # Each gateway took a flooding customer's whole quota for its own until a call of its got through.
     rig = Rig(entries(4), MANY)
-    rig.gateway.quota.share = 0.0001
+    rig.gateway.counter_sync.health.call_share = 0.0001
     went = 0
     for _ in range(20):
         name, actions = rig.ask(plan="rate", spread=200)
@@ -281,8 +281,9 @@
         rig.others = spent
         first_word(rig)  # tells whether the others have used much of the store
         rig.advance(150.0)
-        rig.gateway.quota.share, rig.gateway.quota.rng = 0.5, Unlucky()
-        rig.gateway.quota.customers["c"].part = 0.0
+        rig.gateway.counter_sync.health.call_share = 0.5
+        rig.gateway.counter_sync.rng = rig.gateway.quota.rng = Unlucky()
+        rig.gateway.quota.customers["c"].local_bucket = 0.0
         _, actions = rig.ask(plan="rate", spread=200)
         went.append(len(only(actions, StartAttempt)))
     assert went == [1, 0]
@@ -297,7 +298,7 @@
             rig.end(name, 0, CallOutcome.OK, 1.0)
         rig.answer_calls()
         rig.advance(250.0)
-    assert rig.gateway.quota.customers["c"].part >= 0.0
+    assert rig.gateway.quota.customers["c"].local_bucket >= 0.0
 
 
 def test_an_overdriven_fleet_does_not_raise_a_cold_servers_turns() -> None:
@@ -308,7 +309,7 @@
         if only(actions, StartAttempt):
             rig.end(name, 0, CallOutcome.REJECTED, 1.0)
         rig.advance(10.0)
-    assert rig.gateway.fleet.rate == 0.0
+    assert rig.gateway.load_balancer.slow_start.warm_rate == 0.0
 
 
 @pytest.mark.parametrize(("others", "least", "most"), [(0.0, 90, 100), (300.0, 0, 15)])
@@ -324,7 +325,7 @@
             rig.end(name, 0, CallOutcome.OK, 1.0)
     went = unheard = 0
     for i in range(120):
-        rig.gateway.quota.share = 0.1  # a crowd at the counter: nine in ten do not ask
+        rig.gateway.counter_sync.health.call_share = 0.1  # a crowd at the counter: nine in ten do not ask
         name, actions = rig.ask(plan="rate", customer=f"new{i}", spread=200)
         if only(actions, StartAttempt):
             rig.end(name, 0, CallOutcome.OK, 1.0)
--- a/tests/policy/test_large_fleet.py
+++ b/tests/policy/test_large_fleet.py
@@ -7,6 +7,7 @@
 from quota_gateway.policy_api.actions import StartAttempt
 from quota_gateway.policy_api.endpoints import Endpoint, EndpointUpdate, UpdateKind
 from quota_gateway.policy_api.events import AttemptCompleted, CallOutcome
+from quota_gateway.policy_state.requests import Attempt, PendingRequest
 from tests.policy.scripted_gateway import SETTINGS, Rig, entries, only, with_
 
 FORTY = with_(SETTINGS, gateway_count=40)
@@ -19,7 +20,7 @@
 
 def serve(rig: Rig, count: int, gap_ms: float = 50.0, units: float = 1.0) -> list[str]:
     """Requests one after another, each served at the pace of all; returns where they went."""
-    usual = rig.gateway.fleet.mean(FORTY.classes[0], units)
+    usual = rig.gateway.load_balancer.mean_ms(FORTY.classes[0], units)
     went = []
     for _ in range(count):
         name, actions = rig.ask(units=units)
@@ -47,10 +48,12 @@
         rig = Rig(entries(4), FORTY)
         arrive(rig, *(f"cold{i}" for i in range(count)))
         for i in range(40):  # what the warm ones answer is the same
+            pending = PendingRequest(f"r{i}", 1.0, FORTY.classes[0], None, rig.now, rig.now + 1000.0)
+            attempt = Attempt(pending, Endpoint(f"s{i % 4}", "a"), rig.now, 20.0)
             ended = AttemptCompleted(f"r{i}", 0, f"s{i % 4}", CallOutcome.OK, 20.0, True)
-            rig.gateway.fleet.ended(rig.now, ended, FORTY.classes[0], 1.0)
+            rig.gateway.load_balancer.attempt_completed(rig.now, attempt, ended)
             rig.now += 50.0
-        turns.append(rig.gateway.fleet.slow_start_rate(0.25))
+        turns.append(rig.gateway.load_balancer.slow_start.slot_rate(0.25))
     assert turns[0] == pytest.approx(turns[1])
 
 
@@ -61,15 +64,15 @@
         rig = Rig(entries(4), FORTY)
         rig.warm_up()
         arrive(rig, "cold")
-        cold = rig.gateway.fleet.servers["cold"]
-        for server in rig.gateway.fleet.servers.values():
-            server.out += 0 if server is cold else 8
+        cold = rig.gateway.load_balancer.endpoints.servers["cold"]
+        for server in rig.gateway.load_balancer.endpoints.servers.values():
+            server.in_flight += 0 if server is cold else 8
         went: list[str] = []
         while went != ["cold"] and rig.serial < 200:  # a large one does not take every turn
-            cold.credit, cold.credit_at = 0.0, rig.now  # its turn has just come
+            cold.slot_credit, cold.slot_credit_at_ms = 0.0, rig.now  # its turn has just come
             went = [send.server_id for send in only(rig.ask(units=units)[1], StartAttempt)]
         assert went == ["cold"]
-        waits.append(-cold.credit / rig.gateway.fleet.slow_start_rate(0.25))
+        waits.append(-cold.slot_credit / rig.gateway.load_balancer.slow_start.slot_rate(0.25))
     assert waits[1] > 4.0 * waits[0]
 
 
@@ -95,7 +98,7 @@
     """The servers that each of forty gateways keeps to."""
     kept = []
     for number in range(40):
-        fleet = Rig(servers, with_(FORTY, gateway_index=number)).gateway.fleet
+        fleet = Rig(servers, with_(FORTY, gateway_index=number)).gateway.load_balancer.endpoints
         kept.append(set(fleet.subset))
     return kept
 
@@ -137,9 +140,9 @@
 
 def test_a_gateway_whose_part_is_full_goes_further() -> None:
     rig = Rig(entries(60), FORTY)
-    kept = set(rig.gateway.fleet.subset)
+    kept = set(rig.gateway.load_balancer.endpoints.subset)
     for name in kept:
-        rig.gateway.fleet.servers[name].out = 6
+        rig.gateway.load_balancer.endpoints.servers[name].in_flight = 6
     name, _ = rig.ask()
     assert rig.sent[name][0] not in kept
 
--- a/tests/policy/test_quota_fleet.py
+++ b/tests/policy/test_quota_fleet.py
@@ -106,13 +106,14 @@
     for i in range(20):
         fleet.ask(0.0, 0, f"c{i}")
     fleet.run(100.0)
-    quota = fleet.gateways[0].quota
-    began = {c.key: {c.window} for c in quota.customers.values()}
+    gateway = fleet.gateways[0]
+    quota = gateway.quota
+    began = {c.key: {c.window_start_ms} for c in quota.customers.values()}
     for _ in range(1000):
         fleet.run(rng.uniform(0.0, 120.0))
         for c in quota.customers.values():
-            quota.refresh(fleet.now, c)
-            began[c.key].add(c.window)
+            gateway.counter_sync.refresh(fleet.now, c)
+            began[c.key].add(c.window_start_ms)
     spans = (fleet.now - 1_000_000.0) / 60_000.0
     assert max(len(windows) for windows in began.values()) <= spans + 2.0
 
@@ -153,6 +154,6 @@
     for _ in range(110):
         fleet.run(100.0)
         known = [c for gateway in fleet.gateways for c in gateway.quota.customers.values()]
-        most = max([most, *(c.others for c in known)])
+        most = max([most, *(c.remote_usage for c in known)])
     assert asked - len(fleet.sent) <= 0.001 * asked  # at half of it a store of two seconds does not run empty
     assert most <= 2.0 * rate
--- a/tests/policy/test_ramp.py
+++ b/tests/policy/test_ramp.py
@@ -146,8 +146,8 @@
     def serve(self, gateway: Gateway, send: StartAttempt) -> None:
         """One attempt: turned away, failed, timed out or answered."""
         machine = self.machines[send.server_id]
-        opened = gateway.requests[send.request_id]
-        work = opened.request.units / self.trial.mean_units
+        opened = gateway.pending[send.request_id]
+        work = opened.units / self.trial.mean_units
         cold = send.server_id == "cold"
         if cold:
             self.taken.append((self.now, work))
@@ -324,13 +324,14 @@
     rig = Rig(entries(4))
     rig.warm_up()
     rig.feed(EndpointUpdate(UpdateKind.DELTA, (Endpoint("cold", "a", started_ms=rig.now),)))
-    fleet = rig.gateway.fleet
+    endpoints = rig.gateway.load_balancer.endpoints
     went: dict[float, list[str]] = {}
     for units in (1.0, 30.0):  # 20 ms each; a core bears 500 ms of work in a second
         for _ in range(20):
-            fleet.servers["cold"].credit, fleet.servers["cold"].credit_at = 0.0, rig.now
-            for name, server in fleet.servers.items():
-                server.out = 0 if name == "cold" else 8
+            cold = endpoints.servers["cold"]
+            cold.slot_credit, cold.slot_credit_at_ms = 0.0, rig.now
+            for name, server in endpoints.servers.items():
+                server.in_flight = 0 if name == "cold" else 8
             name, _ = rig.ask(units=units)
             went.setdefault(units, []).extend(rig.sent.get(name, []))
     assert "cold" in went[1.0]
@@ -345,8 +346,9 @@
         rig = Rig(entries(4), seed=seed)
         rig.warm_up()
         rig.feed(EndpointUpdate(UpdateKind.DELTA, (Endpoint("cold", "a", started_ms=rig.now),)))
-        fleet, cold = rig.gateway.fleet, rig.gateway.fleet.servers["cold"]
-        fleet.rate = 0.4  # a turn in ten seconds, were it as cold all the time
+        balancer = rig.gateway.load_balancer
+        cold = balancer.endpoints.servers["cold"]
+        balancer.slow_start.warm_rate = 0.4  # a turn in ten seconds, were it as cold all the time
         rig.now += 9000.0
-        held += fleet.may_start(rig.now, cold, 0.25, 0.1)
+        held += balancer.slow_start.admits(rig.now, cold, 0.25, 0.1)
     assert held <= 15  # one in ten is to be expected; all but a few of them held one
