--- a/quota_gateway/lab/scaling/fleet_load.py
+++ b/quota_gateway/lab/scaling/fleet_load.py
@@ -7,7 +7,7 @@
 from quota_gateway.lab.scaling.fleet_plan import FleetPlan
 from quota_gateway.lab.scaling.measured_slopes import MeasuredSlopes
 from quota_gateway.lab.scaling.slope_names import SlopeName
-from quota_gateway.policy.gateway import IDLE_MS
+from quota_gateway.policy.quota import CUSTOMER_IDLE_MS
 
 SECONDS_PER_DAY = 86_400.0
 HEADER_BYTES = 52  # IP and TCP headers of a small message, with time stamps: RFC 791, 9293, 7323
@@ -30,7 +30,7 @@
     @property
     def known_customers(self) -> float:
         """Customers that one gateway keeps a record of."""
-        return min(self.plan.size.tenants, self.requests_per_s * IDLE_MS / 1000.0)
+        return min(self.plan.size.tenants, self.requests_per_s * CUSTOMER_IDLE_MS / 1000.0)
 
     @property
     def counter_calls_wanted(self) -> float:
--- a/quota_gateway/lab/scaling/gateway_requirements.py
+++ b/quota_gateway/lab/scaling/gateway_requirements.py
@@ -5,7 +5,8 @@
 from quota_gateway.lab.scaling.fleet_load import FleetLoad
 from quota_gateway.lab.scaling.requirement import Requirement
 from quota_gateway.lab.scaling.slope_names import SlopeName
-from quota_gateway.policy.gateway import SUBSET, TICK_MS
+from quota_gateway.policy.endpoints import SUBSET_SIZE
+from quota_gateway.policy.gateway import TICK_MS
 
 GATEWAY = "gateway"
 
@@ -37,7 +38,7 @@
             at(SlopeName.DECISION, servers),
             "ms",
             added_ms,
-            f"subset of {SUBSET}, sample of the index beyond it",
+            f"subset of {SUBSET_SIZE}, sample of the index beyond it",
         ),
         Requirement(
             GATEWAY,
--- a/quota_gateway/lab/scaling/network_costs.py
+++ b/quota_gateway/lab/scaling/network_costs.py
@@ -18,7 +18,7 @@
 from quota_gateway.network.commands import CommandParser, RequestLimits, is_command
 from quota_gateway.network.discovery.http_connection import HttpConnection
 from quota_gateway.network.discovery.poll_schedule import LONG_POLL_S
-from quota_gateway.policy.gateway import stable
+from quota_gateway.policy.hash_ring import stable_hash
 
 CHANGE_COUNTS = (1, 10, 100)
 KEYS = 200  # of the counter, whose digits differ in number
@@ -74,7 +74,7 @@
 def _counter_sizes() -> list[Slope]:
     call = Slope(SlopeName.COUNTER_CALL_BYTES, "bytes", "calls")
     reply = Slope(SlopeName.COUNTER_REPLY_BYTES, "bytes", "calls")
-    keys = [stable(f"{i * 7919:016x}/{60_000 * i}") for i in range(KEYS)]
+    keys = [stable_hash(f"{i * 7919:016x}/{60_000 * i}") for i in range(KEYS)]
     calls = [resp.encode_command(b"INCRTTL", b"%d" % key, b"2.000", KEY_TTL) for key in keys]
     replies = [resp.encode_bulk(b"%.7g" % total) for total in COUNTER_TOTALS]
     call.add(1, [float(len(message)) for message in calls])
--- a/tests/lab/scaling/test_slopes.py
+++ b/tests/lab/scaling/test_slopes.py
@@ -9,7 +9,7 @@
 from quota_gateway.lab.scaling.slope import Slope
 from quota_gateway.lab.scaling.slope_names import SlopeName
 from quota_gateway.lab.simulation.wire_sizes import HTTP_REQUEST_BYTES, incrttl
-from quota_gateway.policy.gateway import stable
+from quota_gateway.policy.hash_ring import stable_hash
 from quota_gateway.policy_api.endpoints import EndpointState, EndpointUpdate
 
 
@@ -47,7 +47,7 @@
 def test_measured_messages_are_those_that_the_simulation_counts() -> None:
     by_name = {measured.name: measured for measured in network_costs.message_sizes()}
     (call_bytes,) = by_name[SlopeName.COUNTER_CALL_BYTES].points.values()
-    key = stable(f"{0:016x}/0")
+    key = stable_hash(f"{0:016x}/0")
     assert call_bytes[0] <= len(incrttl(key, 2.0, 60_000.0)) <= call_bytes[-1] <= call_bytes[0] + 3
     request = network_costs.watch_request()
     assert len(request) == pytest.approx(HTTP_REQUEST_BYTES, abs=4)
