--- a/quota_gateway/network/discovery/__init__.py
+++ b/quota_gateway/network/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The client of the discovery service: watch, HTTP exchange, endpoint list."""
+"""The client of the discovery service: watch, poll schedule, HTTP connection, endpoint list."""
--- a/quota_gateway/network/discovery/http_connection.py
+++ b/quota_gateway/network/discovery/http_connection.py
@@ -30,7 +30,7 @@
         """Take the transport; aborted before, the connection ends here."""
         self._transport = transport  # type: ignore[assignment]  # always a stream transport
         if self._aborted:
-            transport.abort()  # type: ignore[attr-defined]
+            transport.abort()  # type: ignore[attr-defined]  # as above
 
     def get(self, host: str, target: str) -> None:
         """Send a request. Only while `is_idle`."""
