--- a/tests/network/test_counter_client.py
+++ b/tests/network/test_counter_client.py
@@ -8,11 +8,29 @@
 
 from quota_gateway.network.counter_client import CONNECTION_COUNT, CounterClient
 from quota_gateway.policy_api.events import CallOutcome
-from tests.network.harness import (
-    FakeRespServer,
-    run_scenario,
-    wait_until,
-)
+from tests.network.harness import FakeRespServer, run_scenario, wait_until
+
+
+class RecordedClient:
+    """A client whose completions are recorded as key, total and outcome."""
+
+    def __init__(self, port: int, timeout_s: float = 30.0) -> None:
+        self.client = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", port), timeout_s)
+        self.completions: list[tuple[int, float, CallOutcome]] = []
+
+    async def wait_until_ready(self) -> None:
+        await wait_until(lambda: all(connection.is_ready() for connection in self.client.connections))
+
+    def increment(self, key: int, amount: float = 1.0, ttl_ms: float = 1.0) -> None:
+        self.client.increment(
+            key,
+            amount,
+            ttl_ms,
+            lambda total, outcome, duration_ms: self.completions.append((key, total, outcome)),
+        )
+
+    async def wait_for_completions(self, count: int) -> None:
+        await wait_until(lambda: len(self.completions) == count)
 
 
 def test_replies_match_calls_in_order_late_ones_too() -> None:
@@ -28,35 +46,24 @@
 
         peer = FakeRespServer(reply)
         await peer.start()
-        loop = asyncio.get_running_loop()
-        client = CounterClient(loop, ("127.0.0.1", peer.port), 0.05)
-        completions: list[tuple[int, float, CallOutcome]] = []
-
-        def increment(key: int) -> None:
-            client.increment(
-                key,
-                1.5,
-                4000.0,
-                lambda total, outcome, duration_ms: completions.append((key, total, outcome)),
-            )
-
-        increment(2)
-        assert completions == [(2, 0.0, CallOutcome.UNREACHABLE)]  # not connected yet: nothing was added
-        await wait_until(lambda: all(connection.is_ready() for connection in client.connections))
-        increment(2)
-        await wait_until(lambda: len(completions) == 2)
-        client.timeout_s = 30.0
-        increment(4)
-        increment(6)
+        recorded = RecordedClient(peer.port, timeout_s=0.05)
+        recorded.increment(2)
+        assert recorded.completions == [(2, 0.0, CallOutcome.UNREACHABLE)]  # not connected: nothing was added
+        await recorded.wait_until_ready()
+        recorded.increment(2, 1.5, 4000.0)
+        await recorded.wait_for_completions(2)
+        recorded.client.timeout_s = 30.0
+        recorded.increment(4)
+        recorded.increment(6)
         release.set()
-        await wait_until(lambda: len(completions) == 4)
-        assert completions[1:] == [
+        await recorded.wait_for_completions(4)
+        assert recorded.completions[1:] == [
             (2, 0.0, CallOutcome.TIMEOUT),
             (4, 4.0, CallOutcome.OK),
             (6, 0.0, CallOutcome.REJECTED),
         ]
         assert peer.received_commands()[0] == [b"INCRTTL", b"2", b"1.500", b"4000"]
-        client.close()
+        recorded.client.close()
         await peer.stop()
 
     run_scenario(scenario())
@@ -78,18 +85,14 @@
 
         peer = FakeRespServer(reply)
         await peer.start()
-        client = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
-        completions: list[tuple[float, CallOutcome]] = []
-        for _ in range(2):
-            await wait_until(lambda: all(connection.is_ready() for connection in client.connections))
-            client.increment(
-                2, 1.0, 1.0, lambda total, outcome, duration_ms: completions.append((total, outcome))
-            )
-            count = len(completions)
-            await wait_until(lambda: len(completions) > count)  # noqa: B023
-        assert completions == [(0.0, CallOutcome.TIMEOUT), (3.0, CallOutcome.OK)]
+        recorded = RecordedClient(peer.port)
+        for count in (1, 2):
+            await recorded.wait_until_ready()
+            recorded.increment(2)
+            await recorded.wait_for_completions(count)
+        assert recorded.completions == [(2, 0.0, CallOutcome.TIMEOUT), (2, 3.0, CallOutcome.OK)]
         assert len(peer.received_commands()) == 2  # the first was not repeated
-        client.close()
+        recorded.client.close()
         await peer.stop()
 
     run_scenario(scenario())
@@ -120,18 +123,14 @@
 
         peer = FakeRespServer(reply)
         await peer.start()
-        client = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
-        completions: list[tuple[float, CallOutcome]] = []
-        for _ in range(2):
-            await wait_until(lambda: all(connection.is_ready() for connection in client.connections))
-            client.increment(
-                5, 1.0, 1.0, lambda total, outcome, duration_ms: completions.append((total, outcome))
-            )
-            count = len(completions)
-            await wait_until(lambda: len(completions) > count)  # noqa: B023
-        assert completions == [(0.0, CallOutcome.TIMEOUT), (4.5, CallOutcome.OK)]
+        recorded = RecordedClient(peer.port)
+        for count in (1, 2):
+            await recorded.wait_until_ready()
+            recorded.increment(5)
+            await recorded.wait_for_completions(count)
+        assert recorded.completions == [(5, 0.0, CallOutcome.TIMEOUT), (5, 4.5, CallOutcome.OK)]
         assert len(peer.writers) == CONNECTION_COUNT + 1
-        client.close()
+        recorded.client.close()
         await peer.stop()
 
     run_scenario(scenario())
@@ -150,19 +149,14 @@
 
         peer = FakeRespServer(reply)
         await peer.start()
-        client = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 30.0)
-        await wait_until(lambda: all(connection.is_ready() for connection in client.connections))
-        completions: list[int] = []
-
-        def increment(key: int) -> None:
-            client.increment(key, 1.0, 1.0, lambda total, outcome, duration_ms: completions.append(key))
-
+        recorded = RecordedClient(peer.port)
+        await recorded.wait_until_ready()
         for key in (0, 2, 4, 6, 8):
-            increment(key)
-        await wait_until(lambda: sorted(completions) == [2, 4, 6, 8])
+            recorded.increment(key)
+        await wait_until(lambda: sorted(key for key, *_ in recorded.completions) == [2, 4, 6, 8])
         release.set()
-        await wait_until(lambda: len(completions) == 5)
-        client.close()
+        await recorded.wait_for_completions(5)
+        recorded.client.close()
         await peer.stop()
 
     run_scenario(scenario())
@@ -183,29 +177,22 @@
         old, new = FakeRespServer(late), FakeRespServer(three)
         await old.start()
         await new.start()
-        client = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", old.port), 30.0)
-        completions: list[tuple[int, float, CallOutcome]] = []
-
-        def increment(key: int) -> None:
-            client.increment(
-                key, 1.0, 1.0, lambda total, outcome, duration_ms: completions.append((key, total, outcome))
-            )
-
-        await wait_until(lambda: all(connection.is_ready() for connection in client.connections))
-        increment(2)
-        increment(4)
+        recorded = RecordedClient(old.port)
+        await recorded.wait_until_ready()
+        recorded.increment(2)
+        recorded.increment(4)
         await wait_until(lambda: len(old.received_commands()) == 2)
-        client.move_to(("127.0.0.1", new.port))
-        await wait_until(lambda: all(connection.is_ready() for connection in client.connections))
-        increment(4)  # its old call completes now: replies for one key keep their order
-        await wait_until(lambda: len(completions) == 2)
-        assert completions == [(4, 0.0, CallOutcome.TIMEOUT), (4, 3.0, CallOutcome.OK)]
+        recorded.client.move_to(("127.0.0.1", new.port))
+        await recorded.wait_until_ready()
+        recorded.increment(4)  # its old call completes now: replies for one key keep their order
+        await recorded.wait_for_completions(2)
+        assert recorded.completions == [(4, 0.0, CallOutcome.TIMEOUT), (4, 3.0, CallOutcome.OK)]
         release.set()
-        await wait_until(lambda: len(completions) == 3)
+        await recorded.wait_for_completions(3)
         await wait_until(lambda: [what for what, *_ in old.log].count("closed") == CONNECTION_COUNT)
-        assert completions[2] == (2, 7.0, CallOutcome.OK)
+        assert recorded.completions[2] == (2, 7.0, CallOutcome.OK)
         assert len(new.received_commands()) == 1
-        client.close()
+        recorded.client.close()
         await old.stop()
         await new.stop()
 
--- a/tests/network/test_endpoint_list.py
+++ b/tests/network/test_endpoint_list.py
@@ -26,8 +26,8 @@
     FakeDiscovery,
     ScriptedPolicy,
     always_reply,
+    endpoint_list_response,
     forward_to,
-    http_response,
     run_scenario,
     running_gateway,
     server_row,
@@ -122,9 +122,7 @@
             tasks = [asyncio.ensure_future(count_iterations()), asyncio.ensure_future(send_requests())]
             await wait_until(lambda: served)
             before = iterations
-            discovery.responses.append(
-                http_response(json.dumps({"version": 9, "full": True, "servers": many}).encode())
-            )
+            discovery.responses.append(endpoint_list_response(9, many))
             active = sum(server["state"] == "Ready" for server in many)
             await wait_until(lambda: len(server_pools.pools) >= active)
             assert iterations - before >= 2 * ENDPOINT_COUNT // ENDPOINTS_PER_STEP
