--- a/quota_gateway/lab/simulation/gateways.py
+++ b/quota_gateway/lab/simulation/gateways.py
@@ -37,11 +37,18 @@
 class SimulatedGateway:
     """One gateway's machine, with the process that runs on it, if one does.
 
+    Clients see it as a `ClientFacingGateway`, the parts that carry out its actions as a `GatewayHost`.
+    Moments are in simulated time, ms.
+
     Attributes:
         incarnation: counts the processes; what was meant for an earlier one is not delivered to a later one.
         policy: the decisions of the process; None while it is down.
         pending: requests that await their answer, by request id.
         known_version: of the endpoint list, which a restarted process begins with.
+        died_at: when the last process was killed; 0: none was.
+        failure_noticed_at: when clients notice that.
+        started_at: when the present process was restarted.
+        ready_at: when it takes requests.
     """
 
     def __init__(
@@ -52,7 +59,10 @@
         self.settings = settings
         self.incarnation = 0
         self.alive = False
-        self.died_at = self.failure_noticed_at = self.started_at = self.ready_at = 0.0
+        self.died_at = 0.0
+        self.failure_noticed_at = 0.0
+        self.started_at = 0.0
+        self.ready_at = 0.0
         self.policy: Gateway | None = None
         self.pending: dict[str, ClientAttempt] = {}
         self.known_version = 0
@@ -73,7 +83,7 @@
             self._receive_update,
         )
 
-    # --- process life -------------------------------------------------------------------------------------
+    # --- process lifecycle --------------------------------------------------------------------------------
 
     def start(self, cached: EndpointUpdate, version: int) -> None:
         """Start a process from nothing but a cached endpoint list, and its version."""
