--- a/quota_gateway/policy/endpoints.py
+++ b/quota_gateway/policy/endpoints.py
@@ -105,20 +105,21 @@
         """Apply an update of the list; return the records of new processes, in the order of the list."""
         changed: dict[str, None] = {}  # ids that came or went; a dict, as its order is the same in every run
         started: list[Server] = []
+        servers, active = self.servers, EndpointState.ACTIVE  # looked up once: lists may be long
         if update.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED_SNAPSHOT):
             listed = {endpoint.server_id for endpoint in update.endpoints}
-            for server_id in [server_id for server_id in self.servers if server_id not in listed]:
+            for server_id in [server_id for server_id in servers if server_id not in listed]:
                 self._remove(server_id, changed)
         for endpoint in update.endpoints:
-            known = self.servers.get(endpoint.server_id)
-            if endpoint.state is not EndpointState.ACTIVE:
+            known = servers.get(endpoint.server_id)
+            if endpoint.state is not active:
                 self._remove(endpoint.server_id, changed)
             elif known is None or known.endpoint != endpoint:
                 started += self._set(now_ms, endpoint, known)
                 if known is None:
                     changed[endpoint.server_id] = None
         if changed:
-            self.ring.update(changed, self.servers)
+            self.ring.update(changed, servers)
             self.choose_subset(now_ms)
         return started
 
