--- /dev/null
+++ b/tests/policy/test_capacity.py
@@ -0,0 +1,68 @@
+"""Capacity of the back end: work in flight, late responses, recovery."""
+
+from __future__ import annotations
+
+import math
+
+from quota_gateway.policy_api.actions import StartAttempt
+from quota_gateway.policy_api.events import CallOutcome
+from tests.policy.scripted_host import ScriptedHost, make_endpoints, of_type
+from tests.policy.traffic import HUNDREDS, count_admitted
+
+
+def overload(host: ScriptedHost, seconds: float, duration_ms: float) -> int:
+    """Send more requests than are completed; return how many were in flight at most."""
+    in_flight: list[str] = []
+    most = 0
+    for step in range(int(seconds * 100)):
+        request_id, actions = host.request(customer=f"c{step % 7}", time_left_ms=4000.0)
+        if of_type(actions, StartAttempt):
+            in_flight.append(request_id)
+        most = max(most, len(in_flight))
+        host.now_ms += 10.0
+        if in_flight and step % 4 == 0:
+            host.complete(in_flight.pop(0), 0, CallOutcome.OK, duration_ms)
+        host.advance(0.0)
+        host.reply_to_calls()
+    return most
+
+
+def test_in_flight_work_is_bounded_before_responses_are_late() -> None:
+    host = ScriptedHost(make_endpoints(4))
+    host.warm_up()
+    assert overload(host, 3.0, 100.0) <= 40
+
+
+def test_first_requests_of_a_gateway_are_not_taken_for_overload() -> None:
+    host = ScriptedHost(make_endpoints(10))
+    assert count_admitted(host, 10, 20.0, plan="wide") == 10
+
+
+def test_few_attempts_in_flight_are_not_taken_for_overload() -> None:
+    # Two attempts a server, over all gateways, are less than one attempt here; half of all was rejected.
+    host = ScriptedHost(make_endpoints(60), HUNDREDS)
+    host.warm_up()
+    admitted = [bool(of_type(host.request(customer=f"c{i}")[1], StartAttempt)) for i in range(4)]
+    assert all(admitted)
+
+
+def test_late_responses_limit_capacity_where_few_are_seen() -> None:
+    # The median over all servers, most of them without a recent response, called a late fleet early.
+    host = ScriptedHost(make_endpoints(60), HUNDREDS)
+    for i in range(16):
+        request_id, actions = host.request(customer=f"c{i}", time_left_ms=4000.0)
+        host.advance(500.0)
+        if of_type(actions, StartAttempt):
+            host.complete(request_id, 0, CallOutcome.OK, 1500.0)
+        host.reply_to_calls()
+    assert host.gateway.capacity.capacity < math.inf
+
+
+def test_capacity_recovers_after_late_responses() -> None:
+    host = ScriptedHost(make_endpoints(4))
+    host.warm_up()
+    for _ in range(40):
+        host.serve(2500.0, customer="w")
+        host.advance(50.0)
+    host.advance(8000.0)
+    assert count_admitted(host, 100, 50.0, plan="wide") >= 90
--- /dev/null
+++ b/tests/policy/test_load_balancing.py
@@ -0,0 +1,139 @@
+"""The choice of the server for an attempt."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+
+from quota_gateway.policy_api.actions import Fail, StartAttempt
+from quota_gateway.policy_api.endpoints import Endpoint, EndpointUpdate, UpdateKind
+from quota_gateway.policy_api.events import AttemptCompleted, CallOutcome
+from tests.policy.scripted_host import SETTINGS, ScriptedHost, final_answers, make_endpoints, of_type
+from tests.policy.traffic import FORTY, THOUSANDS, serve_at_mean_pace, share_of_first_attempts
+
+
+@pytest.mark.parametrize(
+    ("outcome", "duration_ms"),
+    [(CallOutcome.ERROR, 1.0), (CallOutcome.REJECTED, 1.0), (CallOutcome.UNREACHABLE, 250.0)],
+)
+def test_quickly_failing_server_does_not_attract_requests(outcome: CallOutcome, duration_ms: float) -> None:
+    host = ScriptedHost(make_endpoints(5))
+    host.warm_up()
+    assert share_of_first_attempts(host, "s0", 200, outcome, duration_ms) < 0.1
+
+
+def test_slow_server_gets_less() -> None:
+    host = ScriptedHost(make_endpoints(5))
+    host.warm_up()
+    assert share_of_first_attempts(host, "s0", 300, CallOutcome.OK, 200.0) < 0.12
+
+
+def test_unresponsive_server_gets_no_more_before_any_time_out() -> None:
+    host = ScriptedHost(make_endpoints(5))
+    host.warm_up()
+    unanswered = 0
+    for _ in range(200):
+        request_id, actions = host.request("charge")
+        if host.attempts[request_id][0] == "s0":
+            unanswered += 1
+        elif of_type(actions, StartAttempt):
+            host.complete(request_id, 0, CallOutcome.OK)
+        host.advance(5.0)
+    assert unanswered <= 6
+
+
+def test_load_report_is_taken_into_account() -> None:
+    host = ScriptedHost(make_endpoints(2))
+    host.warm_up()
+    request_id, _ = host.request()
+    busy = host.attempts[request_id][0]
+    host.handle(AttemptCompleted(request_id, 0, busy, CallOutcome.OK, 20.0, True, queue_length=40.0))
+    request_ids = [host.request()[0] for _ in range(3)]
+    assert all(host.attempts[request_id][0] != busy for request_id in request_ids)
+
+
+# --- affinity of keyed requests ------------------------------------------------------------------------
+
+
+def test_zone_keyed_request_stays_in_its_zone_once_it_may_have_run() -> None:
+    for seed in range(20):
+        host = ScriptedHost(make_endpoints(6, "abc"), seed=seed)
+        request_id, _ = host.request("bid")
+        first = host.attempts[request_id][0]
+        host.now_ms += 100.0
+        host.complete(request_id, 0, CallOutcome.TIMEOUT, 100.0)
+        zones = {int(server_id[1:]) % 3 for server_id in host.attempts[request_id]}
+        assert zones == {int(first[1:]) % 3}
+        assert len(host.attempts[request_id]) == 2
+
+
+def test_zone_keyed_request_without_a_server_in_its_zone_fails() -> None:
+    host = ScriptedHost((Endpoint("s0", "a"),))
+    request_id, _ = host.request("bid")
+    host.handle(EndpointUpdate(UpdateKind.SNAPSHOT, (Endpoint("s1", "b"),)))
+    actions = host.complete(request_id, 0, CallOutcome.TIMEOUT, 100.0) + host.advance(4000.0)
+    assert not of_type(actions, StartAttempt)
+    assert [type(answer) for answer in final_answers(actions)] == [Fail]
+
+
+def test_retry_bound_to_a_zone_finds_it_outside_the_subset() -> None:
+    # Of two zones the subset may hold none of one; an index by zone and cell finds them without a scan.
+    servers = tuple(Endpoint(f"s{i}", "b" if i < 3 else "a", i) for i in range(400))
+    tried = 0
+    for seed in range(30):
+        host = ScriptedHost(servers, replace(SETTINGS, gateway_index=seed), seed=seed)
+        endpoints = host.gateway.load_balancer.endpoints
+        for server in endpoints.subset.values():
+            server.in_flight = 99
+        if any(server.endpoint.zone == "b" for server in endpoints.subset.values()):
+            continue
+        first = next(server for server in endpoints.servers.values() if server.endpoint.zone == "b")
+        request_id, _ = host.request("bid")
+        pending = host.gateway.pending[request_id]
+        pending.may_have_run_on, pending.may_have_run_at_ms = first.endpoint, host.now_ms
+        host.complete(request_id, 0, CallOutcome.TIMEOUT, 100.0)
+        assert endpoints.servers[host.attempts[request_id][1]].endpoint.zone == "b"
+        tried += 1
+    assert tried > 10
+
+
+# --- subset and remaining endpoints --------------------------------------------------------------------
+
+
+def test_calm_gateway_connects_to_its_subset_alone() -> None:
+    # It met each of sixty servers seldom and opened a connection to nearly all of them.
+    host = ScriptedHost(make_endpoints(60), FORTY)
+    server_ids = serve_at_mean_pace(host, 300)
+    assert len(set(server_ids)) <= 20
+
+
+def test_gateway_with_a_full_subset_uses_the_remaining_endpoints() -> None:
+    host = ScriptedHost(make_endpoints(60), FORTY)
+    subset = dict(host.gateway.load_balancer.endpoints.subset)
+    for server in subset.values():
+        server.in_flight = 6
+    request_id, _ = host.request()
+    assert host.attempts[request_id][0] not in subset
+
+
+def test_remaining_endpoints_are_sampled_without_failing_ones() -> None:
+    host = ScriptedHost(make_endpoints(200), THOUSANDS)
+    host.warm_up()
+    endpoints = host.gateway.load_balancer.endpoints
+    failing = [server for server in endpoints.servers.values() if not server.in_subset][::3]
+    for server in failing:
+        server.failure_score, server.failure_scored_at_ms = 0.9, host.now_ms
+    for server in endpoints.subset.values():
+        server.in_flight = 99
+    server_ids = []
+    for i in range(60):
+        request_id, actions = host.request(customer=f"c{i}")
+        if of_type(actions, StartAttempt):
+            server_ids.append(host.attempts[request_id][0])
+            host.complete(request_id, 0, CallOutcome.OK)
+    failing_ids = {server.endpoint.server_id for server in failing}
+    assert len(server_ids) == 60
+    assert not set(server_ids) & set(endpoints.subset)
+    assert sum(server_id in failing_ids for server_id in server_ids) <= 4
+    assert len(set(server_ids)) >= 30
--- /dev/null
+++ b/tests/policy/test_slow_start.py
@@ -0,0 +1,264 @@
+"""Slow start: a server that is warming up bears what all gateways together send it, and is used."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+
+from quota_gateway.policy_api.actions import StartAttempt
+from quota_gateway.policy_api.endpoints import Endpoint, EndpointUpdate, UpdateKind
+from quota_gateway.policy_api.events import AttemptCompleted, CallOutcome
+from quota_gateway.policy_state.requests import Attempt, PendingRequest
+from tests.policy.scripted_host import SETTINGS, ScriptedHost, make_endpoints, of_type
+from tests.policy.slow_start_simulation import SLOW_START_SETTINGS, WARMING, play
+from tests.policy.traffic import FORTY, HUNDREDS, serve_at_mean_pace, start_servers
+
+
+def test_warming_server_gets_less_than_its_share_of_warm_traffic() -> None:
+    host = ScriptedHost(make_endpoints(4))
+    host.warm_up()
+    start_servers(host, WARMING)
+    start_ms = host.now_ms
+    attempts: dict[str, int] = {}
+    for _ in range(100):
+        request_id, _ = host.request()
+        server_id = host.attempts[request_id][0]
+        attempts[server_id] = attempts.get(server_id, 0) + 1
+        host.now_ms += 5.0
+        host.complete(request_id, 0, CallOutcome.OK)
+        host.now_ms += 5.0
+    warm = sum(count for server_id, count in attempts.items() if server_id != WARMING) / 4
+    assert host.now_ms - start_ms <= 1000.0
+    assert attempts.get(WARMING, 0) <= max(1.0, 0.5 * warm)
+
+
+def test_three_gateways_together_keep_a_warming_servers_budget() -> None:
+    warming = warm = 0
+    for seed in range(3):
+        host = ScriptedHost(make_endpoints(4), replace(SETTINGS, gateway_count=3), seed=seed)
+        host.warm_up()
+        start_servers(host, WARMING)
+        for _ in range(100):
+            request_id, actions = host.request()
+            if of_type(actions, StartAttempt):
+                to_warming = host.attempts[request_id][0] == WARMING
+                warming += to_warming
+                warm += not to_warming
+                host.now_ms += 5.0
+                host.complete(request_id, 0, CallOutcome.OK)
+            host.now_ms += 5.0
+    # It starts at a quarter of its capacity and bears twice that: half of what a warm one gets, at most.
+    assert warm > 200
+    assert warming <= 0.5 * warm / 4
+
+
+@pytest.mark.parametrize("servers", [4, 12])
+def test_forty_gateways_together_do_not_overload_a_warming_server(servers: int) -> None:
+    """Warm servers answer what they can at most, and the other one starts as cold as any can be."""
+    warming = warm = 0
+    for seed in range(FORTY.gateway_count):
+        host = ScriptedHost(make_endpoints(servers), FORTY, seed=seed)
+        host.warm_up()
+        start_servers(host, WARMING)
+        server_ids = serve_at_mean_pace(host, 10, 100.0)  # for a second, in which it warms by little
+        warming += server_ids.count(WARMING)
+        warm += len(server_ids) - server_ids.count(WARMING)
+    rules = FORTY.slow_start
+    budget = rules.overload_factor * (rules.initial_capacity_share + 0.1) * warm / servers
+    assert warming <= 0.8 * budget
+
+
+@pytest.mark.parametrize("restarted", [False, True])
+def test_first_slots_of_sixty_gateways_do_not_coincide(restarted: bool) -> None:
+    """Each gateway's first slot was open at once: as many requests as gateways in one moment."""
+    settings = replace(SETTINGS, gateway_count=60)
+    warming = Endpoint(WARMING, "a", started_ms=1000.0)
+    total = 0
+    for seed in range(settings.gateway_count):
+        servers = (*make_endpoints(2), warming) if restarted else make_endpoints(2)
+        host = ScriptedHost(servers, settings, seed=seed)
+        if not restarted:
+            host.handle(EndpointUpdate(UpdateKind.DELTA, (warming,)))
+        for server_id, server in host.gateway.load_balancer.endpoints.servers.items():
+            server.in_flight += 0 if server_id == WARMING else 16  # more than the warm ones get at ease
+        _, actions = host.request()
+        total += sum(attempt.server_id == WARMING for attempt in of_type(actions, StartAttempt))
+    # Warm at ten a second, it starts at a quarter and fails at twice that, over a second.
+    assert total <= 5
+
+
+def test_new_gateway_sends_little_to_a_fleet_that_is_warming_up() -> None:
+    host = ScriptedHost(make_endpoints(3, started_ms=1000.0))
+    attempts = sum(len(of_type(host.request()[1], StartAttempt)) for _ in range(200))
+    assert attempts <= 6
+
+
+def test_attempts_at_warming_servers_do_not_raise_their_slot_rate() -> None:
+    # With every server warming up, each slot once counted as warm traffic and the slots came ever faster.
+    host = ScriptedHost(make_endpoints(6, started_ms=1000.0))
+    attempts = 0
+    for _ in range(400):
+        attempts += host.serve(10.0)
+        host.advance(10.0)
+    assert attempts <= 6
+
+
+def test_overloaded_fleet_does_not_raise_the_slot_rate() -> None:
+    # The rate followed what warm servers were sent, three times what they could do; a new one failed too.
+    host = ScriptedHost(make_endpoints(4), HUNDREDS)
+    for i in range(40):
+        request_id, actions = host.request(customer=f"c{i}")
+        if of_type(actions, StartAttempt):
+            host.complete(request_id, 0, CallOutcome.REJECTED, 1.0)
+        host.advance(10.0)
+    assert host.gateway.load_balancer.slow_start.warm_rate == 0.0
+
+
+def test_warming_server_gets_its_slots_where_the_warm_ones_look_idle() -> None:
+    # With its cost raised by its warm-up factor, it got nothing as long as a warm server had no attempt of
+    # this gateway in flight.
+    host = ScriptedHost(make_endpoints(4), FORTY)
+    serve_at_mean_pace(host, 80)
+    start_servers(host, WARMING)
+    server_ids = serve_at_mean_pace(host, 80)
+    assert 1 <= server_ids.count(WARMING) < len(server_ids) / 5
+
+
+def test_warming_servers_do_not_lower_each_others_slot_rate() -> None:
+    # The rate of a warm server was taken over all servers, those that are warming up included.
+    rates = []
+    for count in (1, 6):
+        host = ScriptedHost(make_endpoints(4), FORTY)
+        start_servers(host, *(f"{WARMING}{i}" for i in range(count)))
+        balancer = host.gateway.load_balancer
+        for i in range(40):  # what the warm ones answer is the same
+            pending = PendingRequest(f"r{i}", 1.0, FORTY.classes[0], None, host.now_ms, host.now_ms + 1000.0)
+            attempt = Attempt(pending, Endpoint(f"s{i % 4}", "a"), host.now_ms, work_ms=20.0)
+            completed = AttemptCompleted(f"r{i}", 0, f"s{i % 4}", CallOutcome.OK, 20.0, True)
+            balancer.attempt_completed(host.now_ms, attempt, completed)
+            host.now_ms += 50.0
+        rates.append(balancer.slow_start.slot_rate(0.25))
+    assert rates[0] == pytest.approx(rates[1])
+
+
+def test_large_request_takes_several_slots() -> None:
+    # Requests were counted, and it is work that overloads a server.
+    waits_s: list[float] = []
+    for units in (1.0, 6.0):
+        host = ScriptedHost(make_endpoints(4), FORTY)
+        host.warm_up()
+        start_servers(host, WARMING)
+        balancer = host.gateway.load_balancer
+        warming = balancer.endpoints.servers[WARMING]
+        for server in balancer.endpoints.servers.values():
+            server.in_flight += 0 if server is warming else 8
+        server_ids: list[str] = []
+        while server_ids != [WARMING] and host.request_count < 200:  # a large one does not take every slot
+            warming.slot_credit, warming.slot_credit_at_ms = 0.0, host.now_ms  # a slot has just opened
+            attempts = of_type(host.request(units=units)[1], StartAttempt)
+            server_ids = [attempt.server_id for attempt in attempts]
+        assert server_ids == [WARMING]
+        waits_s.append(-warming.slot_credit / balancer.slow_start.slot_rate(0.25))
+    assert waits_s[1] > 4.0 * waits_s[0]
+
+
+def test_request_that_would_take_the_reserve_alone_goes_to_a_warm_server() -> None:
+    host = ScriptedHost(make_endpoints(4))
+    host.warm_up()
+    start_servers(host, WARMING)
+    servers = host.gateway.load_balancer.endpoints.servers
+    server_ids: dict[float, list[str]] = {}
+    for units in (1.0, 30.0):  # 20 ms each; a core bears 500 ms of work in a second
+        for _ in range(20):
+            servers[WARMING].slot_credit, servers[WARMING].slot_credit_at_ms = 0.0, host.now_ms
+            for server_id, server in servers.items():
+                server.in_flight = 0 if server_id == WARMING else 8
+            request_id, _ = host.request(units=units)
+            server_ids.setdefault(units, []).extend(host.attempts.get(request_id, []))
+    assert WARMING in server_ids[1.0]
+    assert server_ids[30.0]
+    assert WARMING not in server_ids[30.0]
+
+
+def test_unused_slots_lapse() -> None:
+    """In a lull no more than a window's slots may gather; a burst uses all of them at once."""
+    open_slots = 0
+    for seed in range(60):
+        host = ScriptedHost(make_endpoints(4), seed=seed)
+        host.warm_up()
+        start_servers(host, WARMING)
+        balancer = host.gateway.load_balancer
+        warming = balancer.endpoints.servers[WARMING]
+        balancer.slow_start.warm_rate = 0.4  # a slot in ten seconds, were it as cold all the time
+        host.now_ms += 9000.0
+        open_slots += balancer.slow_start.admits(host.now_ms, warming, 0.25, 0.1)
+    assert open_slots <= 15  # one in ten is to be expected; all but a few of them had one
+
+
+def test_slots_come_from_the_gateways_with_the_server_in_their_subset() -> None:
+    """Fewer gateways send to it, each at the rate of a server of its subset; the sum stays the same."""
+    warming = warm = senders = 0
+    for index in range(40):
+        host = ScriptedHost(make_endpoints(59), replace(FORTY, gateway_index=index), seed=index)
+        serve_at_mean_pace(host, 60)
+        start_servers(host, WARMING)
+        host.advance(10.0)
+        server_ids = serve_at_mean_pace(host, 40)  # for two seconds
+        senders += WARMING in server_ids
+        warming += server_ids.count(WARMING)
+        warm += len(server_ids) - server_ids.count(WARMING)
+    share = warm / 59
+    assert 1 <= warming <= 0.6 * share
+    assert senders <= 20
+
+
+# --- simulated fleets ----------------------------------------------------------------------------------
+
+SEEDS = {2: 4, 30: 4, 200: 1}  # by number of gateways
+
+
+@pytest.mark.parametrize("gateways", SEEDS)
+@pytest.mark.parametrize("slow_start", SLOW_START_SETTINGS)
+@pytest.mark.parametrize(
+    "scenario",
+    [
+        "steady",
+        "restart",
+        "restart mixed",
+        "shift",
+        "back",
+        "burst",
+        "lull",
+        "failures",
+        "lull failures",
+        "mixed",
+        "lull mixed",
+        "huge",
+        "gateway",
+        "beside 2",
+    ],
+)
+def test_gateways_together_keep_a_warming_servers_budget(
+    scenario: str, slow_start: str, gateways: int
+) -> None:
+    simulations = play(scenario, gateways, SLOW_START_SETTINGS[slow_start], SEEDS[gateways])
+    assert max(simulation.peak_load() for simulation in simulations) < 0.8
+
+
+@pytest.mark.parametrize(("gateways", "seeds"), [(30, 2), (200, 1)])
+@pytest.mark.parametrize("scenario", ["60", "60 failures", "60 lull"])
+def test_gateways_with_subsets_keep_a_warming_servers_budget(
+    scenario: str, gateways: int, seeds: int
+) -> None:
+    """Of sixty servers each gateway uses twenty."""
+    simulations = play(scenario, gateways, SLOW_START_SETTINGS["short"], seeds)
+    assert max(simulation.peak_load() for simulation in simulations) < 0.8
+
+
+@pytest.mark.parametrize("scenario", ["steady", "restart"])
+@pytest.mark.parametrize(("gateways", "least"), [(2, 0.5), (30, 0.4), (200, 0.1)])
+def test_warming_server_is_used(scenario: str, gateways: int, least: float) -> None:
+    # After a restart of 30 gateways or more it got a twentieth of what it could do, or less.
+    simulations = play(scenario, gateways, SLOW_START_SETTINGS["short"], SEEDS[gateways])
+    assert sum(simulation.utilisation() for simulation in simulations) / SEEDS[gateways] > least
