--- a/quota_gateway/policy/capacity.py
+++ b/quota_gateway/policy/capacity.py
@@ -13,12 +13,13 @@
 
 MIN_WINDOW_S, MAX_WINDOW_S = 1.0, 4.0  # a window of the estimate lasts until it has responses enough
 MIN_RESPONSES = 8
-TARGET_LATENCY_RATIO = 0.5  # median of durations against objectives at which an overloaded back end is kept
+TARGET_LATENCY_RATIO = 0.5  # median of durations against objectives that an overloaded back end settles at
 MAX_GROWTH, MAX_SHRINKAGE = 1.2, 0.7  # of the estimate in one window, which says little of the next one
 UNLIMITED_MARGIN = 3.0  # times the demand: a capacity that no longer binds
 PACE_WINDOW_S, PEAK_DECAY_S = 2.0, 8.0  # over which the pace of work is averaged, and its peak fades
 FIRST_RESPONSE_MS = 200.0  # the time that a gateway's first response is taken to stand for
-MAX_DELAY, MAX_DELAY_SPAN = 0.5, 0.2  # of the objective: highest expected delay; less by priority, at most so
+MAX_DELAY = 0.5  # share of the objective: longest expected delay for the highest priority ...
+MAX_DELAY_SPAN = 0.2  # ... and by how much it is shorter for the lowest
 
 
 class CapacityEstimator:
@@ -32,7 +33,7 @@
         self._window_demand: dict[float, float] = {}  # by priority: units in this window
         self._latency_ratios: list[float] = []  # of this window's responses: duration against objective
         self._in_flight_ms = 0.0  # work in flight, ms of mean service time
-        self._pace, self._peak_pace = 0.0, 0.0  # work completed, ms a second, and the most of it lately
+        self._pace, self._peak_pace = 0.0, 0.0  # work completed, ms a second, and its recent peak
         self._completed_at_ms, self._first_completed_at_ms = 0.0, math.inf
 
     def attempt_started(self, attempt: Attempt) -> None:
@@ -65,6 +66,7 @@
         enough = len(self._latency_ratios) >= MIN_RESPONSES or elapsed_s >= MAX_WINDOW_S
         if elapsed_s < MIN_WINDOW_S or not enough:
             return
+
         ratios = list(self._latency_ratios)
         for attempt in in_flight:
             age_ms = now_ms - attempt.started_at_ms
@@ -73,8 +75,8 @@
         if latency_ratio > TARGET_LATENCY_RATIO:
             self.capacity = min(self.capacity, sum(self._window_demand.values()) / elapsed_s)
         # In proportion to the excess: what each gateway sees differs by chance, and the sum should not.
-        change = 1.0 + TARGET_LATENCY_RATIO - latency_ratio
-        self.capacity *= min(MAX_GROWTH, max(MAX_SHRINKAGE, change))
+        self.capacity *= min(MAX_GROWTH, max(MAX_SHRINKAGE, 1.0 + TARGET_LATENCY_RATIO - latency_ratio))
+
         weight = min(1.0, len(self._latency_ratios) / (2.0 * MIN_RESPONSES))
         for priority in dict.fromkeys([*self.demand, *self._window_demand]):
             rate = self._window_demand.pop(priority, 0.0) / elapsed_s
@@ -97,6 +99,7 @@
                 return False
         if self.capacity == math.inf:
             return True
+
         share = (self.capacity - higher) / max(self.demand.get(priority, 0.0), 1e-9)
         credit = self.credit.get(priority, units) + min(1.0, max(0.0, share)) * units
         credit = min(2.0 * units, credit)
--- a/quota_gateway/policy/counter_sync.py
+++ b/quota_gateway/policy/counter_sync.py
@@ -1,9 +1,9 @@
 """Synchronisation with the shared counter, by which the gateways know of each other's usage.
 
 Each gateway adds what it admits for a customer to the counter key of the customer's accounting window. The
-total in the reply tells of the others: its rise is their usage, and held against what has refilled the token
-bucket since the window began, it tells the bucket's level. It drifts from that, as what a full bucket does
-not take up and what is admitted beyond an empty one is not in it; a gateway that holds a lease corrects it.
+total in the reply tells of the others: its rise is their usage, and compared with what has refilled the token
+bucket since the window began, it gives the bucket's level. It drifts from that, as what a full bucket does
+not take up and what is admitted beyond an empty one is not in it; a gateway with a lease corrects the drift.
 """
 
 import math
@@ -19,11 +19,11 @@
 from quota_gateway.settings import Settings
 
 URGENT_INTERVAL_MS = 100.0  # least time between two calls for one customer
-CALL_INTERVAL_MS, CALM_INTERVAL_MS = 1000.0, 2000.0  # the same far from empty, and over half full
+CALL_INTERVAL_MS, CALM_INTERVAL_MS = 1000.0, 2000.0  # while its bucket is far from empty, over half full
 UNSURE_SHARE = 0.5  # of what is available: usage of all gateways from which a bucket may soon be empty
 INITIAL_LEVEL = 0.5  # of the burst: a bucket's level when its window begins, as not all gateways know it
 DRIFT_TOLERANCE = 0.25  # of the burst: how far a total may lag behind a full bucket uncorrected
-LEASE_TIMEOUTS = 4.0  # counter time-outs that a lease lives for, until all have heard of the correction
+LEASE_TIMEOUTS = 4.0  # counter time-outs that a lease lives for, until the correction has reached all
 TOTAL_TOLERANCE = 0.5  # units by which a total may differ from its parts, as amounts are rounded
 RISE_EXTRA_S = 0.1  # added to the time of a rise, so that two replies in one moment make no huge usage
 USAGE_MEMORY = 0.85  # weight of older usage at each reply: a customer's busiest gateways change
@@ -85,6 +85,7 @@
             self.unreported.pop(customer.key, None)
         if customer.pending_calls or customer.unreported_usage <= 0:
             return []
+
         usage = customer.unreported_usage * customer.gateway_count  # if the others use as much
         urgent = usage >= UNSURE_SHARE * self._quota.available(customer)
         calm = customer.bucket_level - usage > 0.5 * customer.plan.burst > 0
@@ -103,6 +104,7 @@
             del self._pending_calls[reply.key]
         customer = call.customer
         self.refresh(now_ms, customer)
+
         current = call.window_start_ms == customer.window_start_ms
         if isinstance(call, LeaseCall):
             return ReplyResult(actions=self._on_lease_reply(now_ms, call, reply) if current else [])
@@ -112,6 +114,7 @@
         if reply.outcome is CallOutcome.OK:
             self.health.record_reply(reply.duration_ms)
             return ReplyResult(call.request_id, self._reconcile(now_ms, call, reply.total) if current else [])
+
         self.health.record_failure()
         if current and reply.outcome is CallOutcome.TIMEOUT:
             customer.reported_usage += call.amount  # perhaps it was added; adding it twice would be worse
@@ -172,10 +175,11 @@
         if lost:
             spent = burst - customer.bucket_level
         customer.bucket_level = customer.max_bucket_level = burst - spent
+
         drift = spent - counted
         # Many customers come only once, and no second call is made for them.
         lags = total > call.amount + TOTAL_TOLERANCE and drift > DRIFT_TOLERANCE * burst
-        # A total beyond an empty bucket holds requests of the others that are about to be rejected and
+        # A total beyond an empty bucket includes requests of the others that are about to be rejected and
         # refunded, at times large ones. So only a large excess is a drift.
         exceeds = drift < -burst
         if customer.lease_requested or not (lags or exceeds):
@@ -183,7 +187,7 @@
         return [self._request_lease(customer, drift)]
 
     def _request_lease(self, customer: Customer, correction: float) -> IncrementCounter:
-        key = stable_hash(f"{customer.key}/{customer.window_start_ms:.0f}/mend")
+        key = stable_hash(f"{customer.key}/{customer.window_start_ms:.0f}/mend")  # as all versions form it
         call = LeaseCall(customer, customer.window_start_ms, correction)
         self._pending_calls.setdefault(key, deque()).append(call)
         customer.lease_requested = True
--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -1,4 +1,4 @@
-"""The life of a request in one gateway: admission, attempts, retries, exactly one final answer.
+"""The lifecycle of a request in one gateway: admission, attempts, retries, exactly one final answer.
 
 The host feeds events to `Gateway.handle` and carries out the actions that it returns. There is no clock and
 no socket here, and one random generator: the same events and seed give the same actions.
@@ -119,6 +119,7 @@
         if left_ms <= 0 or len(self.pending) >= self.settings.max_pending_requests - 1:
             self._actions.append(actions.Reject(request.request_id, self.settings.max_retry_after_ms))
             return
+
         self.retries.add_request()
         customer, request_id = self.quota.customer_of(now_ms, request), request.request_id
         pending = PendingRequest(request_id, request.units, request_class, customer, now_ms, now_ms + left_ms)
@@ -183,6 +184,7 @@
             else:
                 self._finish_unserved(pending)
             return
+
         if pending.customer is not None:
             pending.customer.in_flight += 1
         mean_ms = self.load_balancer.mean_ms(pending.request_class, pending.units)
@@ -219,6 +221,7 @@
             pending.customer.in_flight -= 1
             duration_s, mean_s = event.duration_ms / 1000.0, self.quota.mean_in_flight_s
             self.quota.mean_in_flight_s += IN_FLIGHT_WEIGHT * (duration_s - mean_s)
+
         if event.request_id not in self.pending:
             return
         if event.request_completed:
--- a/quota_gateway/policy/load_balancing.py
+++ b/quota_gateway/policy/load_balancing.py
@@ -45,7 +45,7 @@
     def update_endpoints(self, update: EndpointUpdate, now_ms: float) -> None:
         """Apply an update of the endpoint list."""
         for server in self.endpoints.update(update, now_ms):
-            # All gateways hear of a start at once, and would all send to the server in one moment.
+            # All gateways learn of a start at once, and would all send to the server in one moment.
             self.slow_start.schedule_slot(now_ms, server)
 
     def mean_ms(self, request_class: RequestClass, units: float) -> float:
--- a/quota_gateway/policy/outliers.py
+++ b/quota_gateway/policy/outliers.py
@@ -1,4 +1,4 @@
-"""Outlier detection: failure scores of servers, held against a baseline, the median over the subset.
+"""Outlier detection: failure scores of servers, compared with a baseline, the median over the subset.
 
 What fails everywhere (a class of requests that no server can answer, a fleet that is full) says nothing of
 one server. The subset stands for the fleet: it is spread over it, and the best known part of it.
--- a/quota_gateway/policy/quota.py
+++ b/quota_gateway/policy/quota.py
@@ -63,12 +63,15 @@
         refilled = plan.rate * elapsed_s
         customer.max_bucket_level = min(plan.burst, customer.max_bucket_level + refilled)
         customer.bucket_level = min(plan.burst, level - drained + refilled)
+
         share, level = _local_share(customer), customer.local_bucket
         rate = (plan.rate or IN_FLIGHT_FILL * plan.max_in_flight / self.mean_in_flight_s) * share
         customer.local_bucket = min(max(level, _local_burst(customer, share)), level + rate * elapsed_s)
+
         burst = plan.hard_limit_burst * (1.0 - COUNTED_HARD_LIMIT) / gateways
         level, rate = customer.hard_limit_bucket, plan.hard_limit_rate * LOCAL_HARD_LIMIT_RATE / gateways
         customer.hard_limit_bucket = min(max(level, burst), level + rate * elapsed_s)
+
         customer.local_demand *= math.exp(-elapsed_s / DEMAND_WINDOW_S)
         customer.refilled_at_ms = now_ms
 
@@ -115,20 +118,21 @@
         return forgotten
 
     def _new_customer(self, now_ms: float, key: str, plan: Plan, gateway_count: int) -> Customer:
-        # The shared buckets outlive a restart of the gateways. While quotas are kept, the hard limit's bucket
-        # never holds less than its burst less the quota's, as it refills faster. Half of that and the slack
-        # are there even if all gateways restart at once, and again before the bucket has refilled.
-        spare = 0.5 * max(0.0, plan.hard_limit_burst - plan.burst) if plan.burst else 0.0
-        spare += plan.hard_limit_slack + plan.hard_limit_rate * (now_ms - self.started_at_ms) / 1000.0
-        spare = min(plan.hard_limit_burst * (1.0 - COUNTED_HARD_LIMIT), spare)
+        # The hard limit outlives a restart of the gateways. While quotas are enforced, its bucket never has
+        # less than its burst less the quota's, as it refills faster. Half of that and the slack are there
+        # even if all gateways restart at once, and again before the bucket has refilled.
+        unspent = 0.5 * max(0.0, plan.hard_limit_burst - plan.burst) if plan.burst else 0.0
+        unspent += plan.hard_limit_slack + plan.hard_limit_rate * (now_ms - self.started_at_ms) / 1000.0
+        unspent = min(plan.hard_limit_burst * (1.0 - COUNTED_HARD_LIMIT), unspent)
         customer = Customer(key, plan, gateway_count, now_ms, plan.burst, max_bucket_level=plan.burst)
-        customer.hard_limit_bucket = spare / gateway_count
+        customer.hard_limit_bucket = unspent / gateway_count
         customer.local_bucket = _local_burst(customer, _local_share(customer))
         customer.window_length_ms = CUSTOMER_IDLE_MS if plan.rate else 1000.0 * DEMAND_WINDOW_S
         customer.window_offset = stable_hash(key) / 2.0**63
         return customer
 
     def _check_rate(self, now_ms: float, customer: Customer, units: float, reply: ReplyState) -> float | None:
+        """Return None to admit a request by rate and burst, else the retry-after, ms."""
         plan, level = customer.plan, customer.bucket_level
         if reply in (ReplyState.MISSING, ReplyState.UNAVAILABLE):
             # A gateway keeps to its own part, or each would spend the whole quota. What the last reply leaves
@@ -136,10 +140,12 @@
             replied = now_ms - customer.replied_at_ms < 1000.0 * plan.burst / plan.rate
             left = level - RESERVED_BURST * plan.burst if replied and reply is ReplyState.MISSING else 0.0
             level = min(max(customer.local_bucket, left), level)
+
         demand = max(customer.local_demand + customer.remote_usage, 1e-9)
         admitted_share = min(1.0, (plan.rate + level / SPEND_S) / demand)
         credit = min(customer.admission_credit + admitted_share * units, MAX_CREDIT * units)
         customer.admission_credit = credit
+
         room_share = self._room_share.get(plan.name, 1.0)
         if reply is ReplyState.RECEIVED:
             has_room = level >= units
@@ -147,12 +153,13 @@
         # Calls put the requests of all gateways in one order, so that after a reply no share is needed.
         if level < units or (credit < units and reply is not ReplyState.RECEIVED):
             return max(0.0, units - level) / plan.rate * 1000.0
-        # Customers that no reply has told of are rejected as often as others had no room.
+        # Customers without any reply so far are rejected as often as those with one had no room.
         unknown = reply is ReplyState.MISSING and customer.replied_at_ms < 0.0
         rejected = unknown and self.rng.random() > room_share
         return units / plan.rate * 1000.0 if rejected else None
 
     def _in_flight_full(self, customer: Customer, units: float, reply: ReplyState) -> bool:
+        """Whether the plan's limit of attempts in flight, over all gateways, is reached."""
         limit = customer.plan.max_in_flight
         local_limit = limit // customer.gateway_count
         if reply is ReplyState.RECEIVED:
--- a/quota_gateway/policy/retries.py
+++ b/quota_gateway/policy/retries.py
@@ -26,7 +26,7 @@
         self._budget = min(MAX_BUDGET, self._budget + BUDGET_PER_REQUEST)
 
     def take_from_budget(self) -> bool:
-        """Take one retry from the budget; return whether it held one."""
+        """Take one retry from the budget; return whether there was one."""
         if self._budget < 1.0:
             return False
         self._budget -= 1.0
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -18,7 +18,8 @@
 MAX_IN_FLIGHT = 2  # attempts of this gateway at one server that is warming up
 MIN_REQUESTS_PER_BUDGET = 6.0  # requests a budget holds at least for their sum to stay near its mean
 MEAN_UNITS_SAMPLES = 20  # requests over which the mean size is taken
-FASTER_WEIGHT, SLOWER_WEIGHT = 0.2, 0.005  # of a new time per unit; slow ones have many reasons, fast one
+FASTER_WEIGHT = 0.2  # of a time per unit below the lowest known: responses are fast for one reason ...
+SLOWER_WEIGHT = 0.005  # ... and slow for many, so that those above it count little
 
 
 class SlowStart:
@@ -52,6 +53,7 @@
         self.warm_rate = self._next_warm_rate * math.exp(-age_s / RATE_WINDOW_S)
         self._next_warm_rate = self.warm_rate + units / RATE_WINDOW_S / self._endpoints.warm_count(now_ms)
         self._rated_at_ms = now_ms
+
         known = self._min_ms_per_unit
         ms_per_unit = duration_ms / units if units > 0 else known
         weight = FASTER_WEIGHT if ms_per_unit < known else SLOWER_WEIGHT
@@ -82,14 +84,15 @@
             server.slot_credit += limit
         if server.slot_credit < 0.0 or server.in_flight >= MAX_IN_FLIGHT:
             return False
+
         budget_ms = max(1.0, self._rules.overload_factor * factor * self._rules.overload_window_ms)
         share = units * self._min_ms_per_unit / budget_ms  # that the request takes, of a server with one core
         # What alone takes the half that is left to chance goes to a warm server, if there is one; so does
-        # every request until a response has told how much work a unit is.
+        # every request until a response has shown how much work a unit is.
         if (share > 1.0 - BUDGET_SHARE or not self._min_ms_per_unit) and self._endpoints.warm_count(now_ms):
             return False
-        # Of large requests some are refused: the fewer fit, the further their sum strays from its mean, as
-        # the square of what each takes.
+        # Of large requests only some are admitted: the fewer fit, the further their sum strays from its mean,
+        # as the square of what each takes.
         if (MIN_REQUESTS_PER_BUDGET * share) ** 2 * self._rng.random() > 1.0:
             self.schedule_slot(now_ms, server)
             return False
--- a/quota_gateway/policy_state/customers.py
+++ b/quota_gateway/policy_state/customers.py
@@ -31,27 +31,27 @@
 
     refilled_at_ms: float  # when the buckets were last brought up to date
     bucket_level: float  # of the token bucket
-    max_bucket_level: float  # upper bound of it: the level at the last reply, refilled; nothing drained
+    max_bucket_level: float  # upper bound of it: the level at the last reply, refilled and not drained
     hard_limit_bucket: float = 0.0  # level
     local_bucket: float = 0.0  # level
 
-    last_seen_ms: float = NEVER_MS
+    last_seen_ms: float = NEVER_MS  # its last request
     admission_credit: float = 1.0  # admitted shares of a trickle add up here until they make a request
-    local_demand: float = 0.0
-    remote_usage: float = 0.0
+    local_demand: float = 0.0  # requested here
+    remote_usage: float = 0.0  # admitted by the other gateways
     in_flight: int = 0  # attempts of this gateway
-    largest_request: float = 1.0
+    largest_request: float = 1.0  # units
     recent_local_usage: float = 0.0  # of the recent usage in the counter's totals, this gateway's ...
     recent_total_usage: float = 0.0  # ... and that of all gateways
 
-    window_length_ms: float = 0.0
+    window_length_ms: float = 0.0  # of its accounting windows
     window_offset: float = 0.0  # of its windows' starts, a share of their length that differs by customer
-    window_start_ms: float = -math.inf
+    window_start_ms: float = -math.inf  # of the present window
     counter_key: int = 0  # the counter's key for this window: units admitted or requested by all gateways
     counter_total: float = 0.0  # in the last reply of this window
-    replied_at_ms: float = NEVER_MS  # last reply that told a total
-    called_at_ms: float = NEVER_MS
-    pending_calls: int = 0  # without a reply so far
+    replied_at_ms: float = NEVER_MS  # last reply with a total
+    called_at_ms: float = NEVER_MS  # last call to the counter
+    pending_calls: int = 0  # usage calls without a reply so far
     in_flight_usage: float = 0.0  # units of pending calls, but for requests that wait for their reply
     reported_usage: float = 0.0  # own units reported since the last reply
     unreported_usage: float = 0.0  # own units not reported yet
@@ -74,9 +74,9 @@
 class LeaseCall:
     """A call for the lease that lets one gateway correct a customer's total; it has no reply yet.
 
-    All gateways that hear a wrong total find it so within the time of a call; if each of them corrected it,
-    it would be further off. The lease is a key of its own on the counter, and the first call for it gets 1 in
-    reply. It lives until all have heard of the correction.
+    All gateways that get a drifted total find it so within the time of a call; if each of them corrected it,
+    it would be further off. The lease is a key of its own on the counter: the first call for it gets 1 in
+    reply, and it lives until the correction has reached all gateways.
     """
 
     customer: Customer
--- a/quota_gateway/policy_state/log_states.py
+++ b/quota_gateway/policy_state/log_states.py
@@ -1,4 +1,4 @@
-"""What was last logged of the states that operators are told of."""
+"""What was last logged of the states that operators are notified of."""
 
 from __future__ import annotations
 
--- a/quota_gateway/policy_state/requests.py
+++ b/quota_gateway/policy_state/requests.py
@@ -27,7 +27,7 @@
     request_id: str
     units: float  # its size, quota units
     request_class: RequestClass
-    customer: Customer | None  # None: its plan is unknown, no quota is kept
+    customer: Customer | None  # None: its plan is unknown, there is no quota
     received_at_ms: float
     deadline_ms: float
     attempts: int = 0  # started so far
