--- a/tests/lab/fakes/harness.py
+++ b/tests/lab/fakes/harness.py
@@ -14,7 +14,8 @@
 from quota_gateway.lab.fakes.faults import MALFORMED_REPLIES, FaultKind
 from quota_gateway.lab.fakes.loopback_server import LoopbackServer
 from quota_gateway.lab.fakes.server import FakeServer, ServerModel
-from tests.network.harness import RespClient, run_scenario
+from tests.network.scenario import run_scenario
+from tests.network.scripted_peers import RespClient
 
 Server = TypeVar("Server", bound=LoopbackServer)
 INSTANT = ServerModel(service_ms=0.0)
--- a/tests/lab/fakes/test_counter.py
+++ b/tests/lab/fakes/test_counter.py
@@ -7,7 +7,8 @@
 from quota_gateway.lab.fakes.counter import CounterModel, FakeCounter
 from quota_gateway.lab.fakes.faults import Fault, FaultKind
 from tests.lab.fakes.harness import assert_fault_shows, run_with_connection
-from tests.network.harness import RespClient, wait_until
+from tests.network.scenario import wait_until
+from tests.network.scripted_peers import RespClient
 
 
 def test_the_counter_adds_amounts_and_drops_names_that_have_expired() -> None:
--- a/tests/lab/fakes/test_discovery.py
+++ b/tests/lab/fakes/test_discovery.py
@@ -14,7 +14,8 @@
 from quota_gateway.network.discovery.poll_schedule import PollSchedule
 from quota_gateway.network.discovery.watch import EndpointWatch
 from tests.lab.fakes.harness import NO_REPLY_WAIT_S, http_get, run_with_connection, started
-from tests.network.harness import RespClient, run_scenario, wait_until
+from tests.network.scenario import run_scenario, wait_until
+from tests.network.scripted_peers import RespClient
 
 
 def test_a_watch_waits_for_a_change_and_gets_a_delta() -> None:
--- a/tests/lab/fakes/test_faults.py
+++ b/tests/lab/fakes/test_faults.py
@@ -13,7 +13,9 @@
 from quota_gateway.lab.fakes.faults import Fault, FaultError, FaultKind
 from quota_gateway.lab.fakes.loopback_server import LoopbackServer
 from tests.lab.fakes.harness import INSTANT, fake_server, http_get, started
-from tests.network.harness import CUSTOMER, READ_FIELDS, RespClient, run_scenario
+from tests.network.samples import CUSTOMER, READ_FIELDS
+from tests.network.scenario import run_scenario
+from tests.network.scripted_peers import RespClient
 
 
 def test_faults_are_checked_when_they_are_made_and_injected() -> None:
--- a/tests/lab/fakes/test_loopback_server.py
+++ b/tests/lab/fakes/test_loopback_server.py
@@ -6,7 +6,7 @@
 
 from quota_gateway.lab.fakes.server import FakeServer, ServerModel
 from tests.lab.fakes.harness import INSTANT, fake_server, run_with_connection
-from tests.network.harness import RespClient
+from tests.network.scripted_peers import RespClient
 
 
 def test_malformed_commands_end_a_connection() -> None:
--- a/tests/lab/fakes/test_server.py
+++ b/tests/lab/fakes/test_server.py
@@ -8,7 +8,9 @@
 from quota_gateway.lab.fakes.faults import Fault, FaultKind
 from quota_gateway.lab.fakes.server import FakeServer, ServerModel, request_id_of
 from tests.lab.fakes.harness import INSTANT, assert_fault_shows, fake_server, run_with_connection
-from tests.network.harness import CUSTOMER, READ_FIELDS, RespClient, run_scenario, wait_until
+from tests.network.samples import CUSTOMER, READ_FIELDS
+from tests.network.scenario import run_scenario, wait_until
+from tests.network.scripted_peers import RespClient
 
 ONE_SLOW_CORE = ServerModel(cores=1, service_ms=60_000.0, variation=0.0, queue_length=1)
 
--- a/tests/lab/load/harness.py
+++ b/tests/lab/load/harness.py
@@ -11,7 +11,8 @@
 from quota_gateway.lab.load.schedule import LoadSpec, ScheduledRequest, draw_schedule
 from quota_gateway.lab.load.summary import LoadSummary
 from quota_gateway.settings import Idempotency
-from tests.network.harness import FakeRespServer, Reply, always_reply, run_scenario
+from tests.network.scenario import run_scenario
+from tests.network.scripted_peers import Reply, ScriptedRespServer, always_reply
 
 DEPLOYMENT = decode_deployment(gateway_settings(3))
 
@@ -38,7 +39,7 @@
     summaries: list[LoadSummary] = []
 
     async def scenario() -> None:
-        gateway = FakeRespServer(reply or always_reply(None))
+        gateway = ScriptedRespServer(reply or always_reply(None))
         await gateway.start()
         if reply is None:
             await gateway.stop()
--- a/tests/lab/load/test_client.py
+++ b/tests/lab/load/test_client.py
@@ -10,7 +10,7 @@
 from quota_gateway.lab.load.request_record import LossReason, RequestOutcome
 from quota_gateway.lab.load.summary import LATE_REPLY_S
 from tests.lab.load.harness import encode_value, repeatable_requests, run_load
-from tests.network.harness import always_reply
+from tests.network.scripted_peers import always_reply
 
 
 def test_the_load_does_not_wait_for_replies_and_a_stall_counts_from_the_intended_sending() -> None:
--- a/tests/lab/load/test_connections.py
+++ b/tests/lab/load/test_connections.py
@@ -10,7 +10,7 @@
 from quota_gateway.lab.load import connections
 from quota_gateway.lab.load.request_record import LossReason, RequestOutcome
 from tests.lab.load.harness import encode_value, repeatable_requests, run_load
-from tests.network.harness import wait_until
+from tests.network.scenario import wait_until
 
 
 def test_with_all_connections_busy_requests_are_pipelined(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/lab/load/test_fault_schedule.py
+++ b/tests/lab/load/test_fault_schedule.py
@@ -9,7 +9,7 @@
 from quota_gateway.lab.load.fault_schedule import FaultSchedule
 from quota_gateway.lab.load.scheduled_fault import ScheduledFaultError, parse_scheduled_fault
 from quota_gateway.lab.load.testbed import LoopbackTestbed, LoopbackTestbedSpec
-from tests.network.harness import run_scenario, wait_until
+from tests.network.scenario import run_scenario, wait_until
 
 
 @pytest.mark.parametrize("text", ["s9:reset", "counter:drain", "counter:partial", "s0:cut", "moon:reset"])
--- a/tests/lab/load/test_summary.py
+++ b/tests/lab/load/test_summary.py
@@ -11,7 +11,7 @@
 from quota_gateway.lab.load.summary import LoadSummary
 from quota_gateway.settings import Idempotency
 from tests.lab.load.harness import repeatable_requests
-from tests.network.harness import run_scenario
+from tests.network.scenario import run_scenario
 
 
 def test_added_latency_leaves_out_the_time_at_servers_and_duplicate_executions_are_counted() -> None:
--- a/tests/lab/load/test_testbed.py
+++ b/tests/lab/load/test_testbed.py
@@ -10,7 +10,7 @@
 from quota_gateway.lab.load import gateway_process
 from quota_gateway.lab.load.gateway_process import GatewayError
 from quota_gateway.lab.load.testbed import LoopbackTestbed, LoopbackTestbedSpec
-from tests.network.harness import run_scenario
+from tests.network.scenario import run_scenario
 
 
 def test_a_gateway_that_does_not_start_is_reported_with_its_log_and_everything_is_ended(
--- /dev/null
+++ b/tests/network/gateway_fixture.py
@@ -0,0 +1,164 @@
+"""A gateway under test on loopback sockets, between scripted peers."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import AsyncIterator, Callable
+from contextlib import asynccontextmanager
+from dataclasses import replace
+from typing import Any, TypeVar
+
+from quota_gateway.network.bridge import Policy, PolicyBridge
+from quota_gateway.network.config import GatewayConfig, decode_config
+from quota_gateway.network.listener import Listener
+from quota_gateway.network.process import GatewayProcess
+from quota_gateway.network.server_pool import ServerPools
+from quota_gateway.policy_api.actions import Action, Fail, StartAttempt
+from quota_gateway.policy_api.events import AttemptCompleted, Event, Request
+from tests.network.samples import (
+    SETTINGS,
+)
+from tests.network.scenario import wait_until
+from tests.network.scripted_peers import (
+    Reply,
+    RespClient,
+    ScriptedDiscovery,
+    ScriptedPeer,
+    ScriptedRespServer,
+    endpoint_list_response,
+    server_row,
+)
+
+E = TypeVar("E", bound=Event)
+
+
+class ScriptedPolicy:
+    """A policy made by a test: `decide` turns each event into actions. All events are kept."""
+
+    def __init__(self, decide: Callable[[Event], list[Action]]) -> None:
+        self.decide = decide
+        self.events: list[Event] = []
+        self.inside = False
+
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
+        assert not self.inside, "the policy was called from within a call"
+        self.inside = True
+        self.events.append(event)
+        try:
+            return self.decide(event)
+        finally:
+            self.inside = False
+
+    def events_of(self, kind: type[E]) -> list[E]:
+        return [event for event in self.events if isinstance(event, kind)]
+
+
+def forward_to(server: str, timeout_ms: float = 0.0) -> Callable[[Event], list[Action]]:
+    """Decide to send each request once to one server, and to fail it if that does not succeed."""
+
+    def decide(event: Event) -> list[Action]:
+        if isinstance(event, Request):
+            return [StartAttempt(event.request_id, server, timeout_ms)]
+        if isinstance(event, AttemptCompleted) and not event.request_completed:
+            return [Fail(event.request_id)]
+        return []
+
+    return decide
+
+
+def forwarding_policy(server: str = "s0") -> ScriptedPolicy:
+    """Return a policy that sends each request once to one server."""
+    return ScriptedPolicy(forward_to(server))
+
+
+class RunningGateway:
+    """A gateway with its fake peers."""
+
+    def __init__(
+        self, process: GatewayProcess, servers: list[ScriptedRespServer], counter: ScriptedRespServer
+    ) -> None:
+        self.process, self.servers, self.counter = process, servers, counter
+
+    @property
+    def port(self) -> int:
+        server = self.process.listener.server
+        assert server is not None
+        return int(server.sockets[0].getsockname()[1])
+
+    @property
+    def listener(self) -> Listener:
+        return self.process.listener
+
+    @property
+    def bridge(self) -> PolicyBridge:
+        return self.process.bridge
+
+    @property
+    def server_pools(self) -> ServerPools:
+        return self.process.server_pools
+
+    async def connect_client(self) -> RespClient:
+        return await RespClient.connect(self.port)
+
+
+def raw_config(discovery: int, counter: int, rows: list[dict[str, Any]], listen: int = 1) -> dict[str, Any]:
+    """Return a configuration as the platform writes it."""
+    return {
+        "name": "n0",
+        "listen": f"127.0.0.1:{listen}",
+        "discovery": f"127.0.0.1:{discovery}",
+        "counter": f"127.0.0.1:{counter}",
+        "seed": "8c1f30d27a5be964",
+        "settings": SETTINGS,
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "known": {"version": 1, "full": True, "servers": rows},
+    }
+
+
+def gateway_config(discovery: int, counter: int, rows: list[dict[str, Any]], **changes: Any) -> GatewayConfig:
+    """Return the same, decoded, with changes; the gateway listens on a free port."""
+    decoded = decode_config(raw_config(discovery, counter, rows), {})
+    return replace(decoded, listen_address=("127.0.0.1", 0), **changes)
+
+
+@asynccontextmanager
+async def running_gateway(
+    *replies: Reply,
+    policy: Policy | None = None,
+    counter: Reply | None = None,
+    discovery: ScriptedDiscovery | None = None,
+    **changes: Any,
+) -> AsyncIterator[RunningGateway]:
+    """Run a gateway that is ready, with servers s0, s1, ..., one for each reply.
+
+    `changes` are fields of `GatewayConfig`.
+    """
+    totals: dict[bytes, float] = {}
+
+    async def increment(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+        if words[0] == b"PING":
+            return b"+PONG\r\n"
+        totals[words[1]] = totals.get(words[1], 0.0) + float(words[2])
+        text = repr(totals[words[1]]).encode()
+        return b"$%d\r\n%b\r\n" % (len(text), text)
+
+    servers = [ScriptedRespServer(reply) for reply in replies]
+    counter_server = ScriptedRespServer(counter or increment)
+    for peer in (*servers, counter_server):
+        await peer.start()
+    rows = [server_row(f"s{i}", peer.port) for i, peer in enumerate(servers)]
+    discovery = discovery or ScriptedDiscovery(endpoint_list_response(1, rows))
+    await discovery.start()
+    config = gateway_config(discovery.port, counter_server.port, rows, **changes)
+    process = GatewayProcess(config, asyncio.get_running_loop(), policy)
+    await process.start()
+    if process.counter is not None:
+        connections = process.counter.connections
+        await wait_until(lambda: all(connection.is_ready() for connection in connections))
+    try:
+        yield RunningGateway(process, servers, counter_server)
+    finally:
+        await process.close()
+        peers: list[ScriptedPeer] = [*servers, counter_server, discovery]
+        for fake in peers:
+            await fake.stop()
--- a/tests/network/gateway_processes.py
+++ b/tests/network/gateway_processes.py
@@ -11,7 +11,7 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from tests.network.harness import RespClient
+from tests.network.scripted_peers import RespClient
 
 ROOT = Path(__file__).resolve().parents[2]
 
--- /dev/null
+++ b/tests/network/scripted_peers.py
@@ -0,0 +1,178 @@
+"""Peers of a gateway on loopback sockets, which do just what a test tells them to."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from collections.abc import AsyncIterator, Awaitable, Callable
+from typing import Any
+
+import hiredis
+
+from tests.network.samples import (
+    OK_RESPONSE,
+)
+from tests.network.scenario import wait_until
+
+
+class ScriptedPeer:
+    """A TCP server on loopback; subclasses implement `serve`, which handles one connection."""
+
+    def __init__(self) -> None:
+        self.server: asyncio.Server | None = None
+        self.writers: list[asyncio.StreamWriter] = []
+        self.port = 0
+
+    async def start(self, port: int = 0) -> None:
+        self.server = await asyncio.start_server(self.accept, "127.0.0.1", port)
+        self.port = self.server.sockets[0].getsockname()[1]
+
+    async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.writers.append(writer)
+        try:
+            await self.serve(reader, writer)
+        except (ConnectionError, asyncio.IncompleteReadError):
+            pass
+        finally:
+            writer.close()
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        raise NotImplementedError
+
+    async def stop(self) -> None:
+        if self.server is not None:
+            self.server.close()
+        for writer in self.writers:
+            writer.close()
+
+
+async def read_commands(reader: asyncio.StreamReader) -> AsyncIterator[list[bytes]]:
+    """Iterate over the commands received on a connection."""
+    parser = hiredis.Reader()
+    while data := await reader.read(65536):
+        parser.feed(data)
+        while (words := parser.gets()) is not False:
+            yield words
+
+
+Reply = Callable[[list[bytes], asyncio.StreamWriter], Awaitable[bytes | None]]
+
+
+class ScriptedRespServer(ScriptedPeer):
+    """Answers each command with what `reply` returns; None leaves it unanswered.
+
+    `log` holds "command" and "closed" events in order, each with the number of its connection, from 1.
+    """
+
+    def __init__(self, reply: Reply) -> None:
+        super().__init__()
+        self.reply = reply
+        self.log: list[tuple[str, int, list[bytes]]] = []
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        number = len(self.writers)
+        try:
+            async for words in read_commands(reader):
+                self.log.append(("command", number, words))
+                reply = await self.reply(words, writer)
+                if reply is not None:
+                    writer.write(reply)
+        finally:
+            self.log.append(("closed", number, []))
+
+    def received_commands(self) -> list[list[bytes]]:
+        """Return the commands received, without pings."""
+        return [words for what, _, words in self.log if what == "command" and words != [b"PING"]]
+
+
+def always_reply(reply: bytes | None) -> Reply:
+    """Reply the same to every command."""
+
+    async def constant_reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
+        return reply
+
+    return constant_reply
+
+
+def reply_once_released(release: asyncio.Event) -> Reply:
+    """Reply to every command with an OK response, once the event is set."""
+
+    async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+        await release.wait()
+        return OK_RESPONSE
+
+    return reply
+
+
+class ScriptedDiscovery(ScriptedPeer):
+    """Discovery: each request gets the next of `responses`, or waits until a test appends it."""
+
+    def __init__(self, *responses: bytes) -> None:
+        super().__init__()
+        self.responses = list(responses)
+        self.targets: list[str] = []
+        self.request_times: list[float] = []  # of the loop
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        while head := await reader.readuntil(b"\r\n\r\n"):
+            self.targets.append(head.split(b" ")[1].decode())
+            self.request_times.append(asyncio.get_running_loop().time())
+            number = len(self.targets) - 1
+            await wait_until(lambda: len(self.responses) > number)  # noqa: B023  # awaited in this iteration
+            writer.write(self.responses[number])
+
+
+def http_response(body: bytes, status: str = "200 OK") -> bytes:
+    return b"HTTP/1.1 %b\r\nContent-Length: %d\r\n\r\n%b" % (status.encode(), len(body), body)
+
+
+def endpoint_list_response(version: int, rows: list[dict[str, Any]], full: bool = True) -> bytes:
+    return http_response(json.dumps({"version": version, "full": full, "servers": rows}).encode())
+
+
+def server_row(server: str, port: int, state: str = "Ready", started_ms: float = 0.0) -> dict[str, Any]:
+    return {
+        "id": server,
+        "addr": f"127.0.0.1:{port}",
+        "zone": "a",
+        "kind": "m",
+        "cell": 0,
+        "state": state,
+        "weight": 1.0,
+        "started_ms": started_ms,
+    }
+
+
+class RespClient:
+    """A client's connection to a RESP server."""
+
+    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.reader, self.writer = reader, writer
+        self.parser = hiredis.Reader()
+
+    @classmethod
+    async def connect(cls, port: int) -> RespClient:
+        return cls(*await asyncio.open_connection("127.0.0.1", port))
+
+    def send(self, *words: bytes) -> None:
+        self.writer.write(hiredis.pack_command(words))  # type: ignore[arg-type]
+
+    async def read_reply(self) -> Any:
+        """Return the next reply; None at the end of the stream."""
+        while (reply := self.parser.gets()) is False:
+            data = await self.reader.read(65536)
+            if not data:
+                return None
+            self.parser.feed(data)
+        return reply
+
+    async def execute(self, *words: bytes) -> Any:
+        self.send(*words)
+        return await self.read_reply()
+
+    async def closed_by_gateway(self) -> bool:
+        """Tell whether the gateway closes the connection without sending anything more."""
+        try:
+            return not await self.reader.read(1)
+        except ConnectionError:
+            return True
--- a/tests/network/test_attempt.py
+++ b/tests/network/test_attempt.py
@@ -14,20 +14,10 @@
     Request,
     TimerFired,
 )
-from tests.network.harness import (
-    CHARGE_FIELDS,
-    CUSTOMER,
-    OK_RESPONSE,
-    READ_FIELDS,
-    Reply,
-    ScriptedPolicy,
-    always_reply,
-    forward_to,
-    forwarding_policy,
-    run_scenario,
-    running_gateway,
-    wait_until,
-)
+from tests.network.gateway_fixture import ScriptedPolicy, forward_to, forwarding_policy, running_gateway
+from tests.network.samples import CHARGE_FIELDS, CUSTOMER, OK_RESPONSE, READ_FIELDS
+from tests.network.scenario import run_scenario, wait_until
+from tests.network.scripted_peers import Reply, always_reply
 
 
 def test_no_request_is_written_on_a_connection_established_after_the_drain_grace() -> None:
--- a/tests/network/test_bridge.py
+++ b/tests/network/test_bridge.py
@@ -15,19 +15,10 @@
     Request,
     TimerFired,
 )
-from tests.network.harness import (
-    CHARGE_FIELDS,
-    CUSTOMER,
-    OK_RESPONSE,
-    ORDER_FIELDS,
-    READ_FIELDS,
-    ScriptedPolicy,
-    always_reply,
-    forward_to,
-    run_scenario,
-    running_gateway,
-    wait_until,
-)
+from tests.network.gateway_fixture import ScriptedPolicy, forward_to, running_gateway
+from tests.network.samples import CHARGE_FIELDS, CUSTOMER, OK_RESPONSE, ORDER_FIELDS, READ_FIELDS
+from tests.network.scenario import run_scenario, wait_until
+from tests.network.scripted_peers import always_reply
 
 
 def test_a_request_is_forwarded_unchanged_but_for_the_time_left() -> None:
--- a/tests/network/test_client_connection.py
+++ b/tests/network/test_client_connection.py
@@ -15,18 +15,10 @@
     ConnectionState,
 )
 from quota_gateway.policy_api.events import AttemptCompleted, Request
-from tests.network.harness import (
-    CUSTOMER,
-    ENCODED_REQUEST,
-    OK_RESPONSE,
-    READ_FIELDS,
-    always_reply,
-    forwarding_policy,
-    reply_once_released,
-    run_scenario,
-    running_gateway,
-    wait_until,
-)
+from tests.network.gateway_fixture import forwarding_policy, running_gateway
+from tests.network.samples import CUSTOMER, ENCODED_REQUEST, OK_RESPONSE, READ_FIELDS
+from tests.network.scenario import run_scenario, wait_until
+from tests.network.scripted_peers import always_reply, reply_once_released
 
 REQUEST_ID = b"9b1f03aa5c7e2d41"
 
--- a/tests/network/test_client_disconnect.py
+++ b/tests/network/test_client_disconnect.py
@@ -16,18 +16,15 @@
 from quota_gateway.network.client_connection import MAX_PENDING_REPLIES
 from quota_gateway.network.listener import DISCONNECT_POLL_S
 from quota_gateway.policy_api.events import AttemptCompleted, CallOutcome, ClientDisconnected
-from tests.network.harness import (
-    CUSTOMER,
-    READ_FIELDS,
-    FakeDiscovery,
+from tests.network.gateway_fixture import forwarding_policy, running_gateway
+from tests.network.samples import CUSTOMER, READ_FIELDS
+from tests.network.scenario import run_scenario, wait_until
+from tests.network.scripted_peers import (
+    ScriptedDiscovery,
     always_reply,
     endpoint_list_response,
-    forwarding_policy,
     reply_once_released,
-    run_scenario,
-    running_gateway,
     server_row,
-    wait_until,
 )
 
 
@@ -98,7 +95,7 @@
         with server_with_full_backlog() as server:
             port = int(server.getsockname()[1])
             script = forwarding_policy("s9")
-            discovery = FakeDiscovery(endpoint_list_response(2, [server_row("s9", port)]))
+            discovery = ScriptedDiscovery(endpoint_list_response(2, [server_row("s9", port)]))
             async with running_gateway(policy=script, discovery=discovery) as gateway:
                 await wait_until(lambda: "s9" in gateway.server_pools.pools)
                 client = await gateway.connect_client()
--- a/tests/network/test_commands.py
+++ b/tests/network/test_commands.py
@@ -8,16 +8,10 @@
 from quota_gateway.policy_api.events import (
     Request,
 )
-from tests.network.harness import (
-    CHARGE_FIELDS,
-    CUSTOMER,
-    OK_RESPONSE,
-    READ_FIELDS,
-    always_reply,
-    forwarding_policy,
-    run_scenario,
-    running_gateway,
-)
+from tests.network.gateway_fixture import forwarding_policy, running_gateway
+from tests.network.samples import CHARGE_FIELDS, CUSTOMER, OK_RESPONSE, READ_FIELDS
+from tests.network.scenario import run_scenario
+from tests.network.scripted_peers import always_reply
 
 REQUEST_ID = b"9b1f03aa5c7e2d41"
 
--- a/tests/network/test_config.py
+++ b/tests/network/test_config.py
@@ -16,7 +16,9 @@
     load_config,
 )
 from quota_gateway.policy_api.endpoints import UpdateKind
-from tests.network.harness import SETTINGS, raw_config, server_row
+from tests.network.gateway_fixture import raw_config
+from tests.network.samples import SETTINGS
+from tests.network.scripted_peers import server_row
 
 
 def test_a_whole_file_is_decoded() -> None:
--- a/tests/network/test_counter_client.py
+++ b/tests/network/test_counter_client.py
@@ -8,7 +8,8 @@
 
 from quota_gateway.network.counter_client import CONNECTION_COUNT, CounterClient
 from quota_gateway.policy_api.events import CallOutcome
-from tests.network.harness import FakeRespServer, run_scenario, wait_until
+from tests.network.scenario import run_scenario, wait_until
+from tests.network.scripted_peers import ScriptedRespServer
 
 
 class RecordedClient:
@@ -44,7 +45,7 @@
                 await release.wait()
             return b"-BUSY\r\n" if words[1] == b"6" else b"$1\r\n%b\r\n" % words[1]
 
-        peer = FakeRespServer(reply)
+        peer = ScriptedRespServer(reply)
         await peer.start()
         recorded = RecordedClient(peer.port, timeout_s=0.05)
         recorded.increment(2)
@@ -83,7 +84,7 @@
                 return None
             return b"$1\r\n3\r\n"
 
-        peer = FakeRespServer(reply)
+        peer = ScriptedRespServer(reply)
         await peer.start()
         recorded = RecordedClient(peer.port)
         for count in (1, 2):
@@ -121,7 +122,7 @@
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
             return b"+PONG\r\n" if words[0] == b"PING" else answers.pop(0)
 
-        peer = FakeRespServer(reply)
+        peer = ScriptedRespServer(reply)
         await peer.start()
         recorded = RecordedClient(peer.port)
         for count in (1, 2):
@@ -147,7 +148,7 @@
                 await release.wait()
             return b"$1\r\n1\r\n"
 
-        peer = FakeRespServer(reply)
+        peer = ScriptedRespServer(reply)
         await peer.start()
         recorded = RecordedClient(peer.port)
         await recorded.wait_until_ready()
@@ -174,7 +175,7 @@
         async def three(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
             return b"+PONG\r\n" if words[0] == b"PING" else b"$1\r\n3\r\n"
 
-        old, new = FakeRespServer(late), FakeRespServer(three)
+        old, new = ScriptedRespServer(late), ScriptedRespServer(three)
         await old.start()
         await new.start()
         recorded = RecordedClient(old.port)
--- a/tests/network/test_counter_connection.py
+++ b/tests/network/test_counter_connection.py
@@ -9,7 +9,8 @@
 from quota_gateway.network import counter_connection
 from quota_gateway.network.counter_client import CONNECTION_COUNT, CounterClient
 from quota_gateway.network.counter_connection import ConnectionState, CounterConnection, PendingCall
-from tests.network.harness import FakeRespServer, always_reply, run_scenario, wait_until
+from tests.network.scenario import run_scenario, wait_until
+from tests.network.scripted_peers import ScriptedRespServer, always_reply
 
 
 def state(connection: CounterConnection) -> ConnectionState:
@@ -25,7 +26,7 @@
                 await release.wait()
             return b"+PONG\r\n" if words[0] == b"PING" else b"$1\r\n3\r\n"
 
-        peer = FakeRespServer(reply)
+        peer = ScriptedRespServer(reply)
         await peer.start()
         loop = asyncio.get_running_loop()
         connection = CounterConnection(loop, ("127.0.0.1", peer.port))
@@ -51,7 +52,7 @@
     """Both its loss and the failed attempt are reported; two connections would mix up their replies."""
 
     async def scenario() -> None:
-        peer = FakeRespServer(always_reply(b"+PONG\r\n"))
+        peer = ScriptedRespServer(always_reply(b"+PONG\r\n"))
         await peer.start()
         connection = CounterConnection(asyncio.get_running_loop(), ("127.0.0.1", peer.port))
         await wait_until(connection.is_ready)
@@ -71,7 +72,7 @@
 
 def test_a_silent_connection_is_opened_again(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        peer = FakeRespServer(always_reply(None))
+        peer = ScriptedRespServer(always_reply(None))
         await peer.start()
         client = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", peer.port), 0.01)
         await wait_until(lambda: len(peer.writers) > 2 * CONNECTION_COUNT)
--- a/tests/network/test_descriptors.py
+++ b/tests/network/test_descriptors.py
@@ -12,20 +12,17 @@
 
 from quota_gateway.network.counter_client import CONNECTION_COUNT
 from quota_gateway.network.descriptors import RESERVED_DESCRIPTORS, allocate_descriptors
+from tests.network.gateway_fixture import raw_config
 from tests.network.gateway_processes import connect_when_listening, free_port, limited_gateway
-from tests.network.harness import (
-    CUSTOMER,
-    OK_RESPONSE,
-    READ_FIELDS,
-    FakeDiscovery,
-    FakeRespServer,
+from tests.network.samples import CUSTOMER, OK_RESPONSE, READ_FIELDS
+from tests.network.scenario import run_scenario, wait_until
+from tests.network.scripted_peers import (
     RespClient,
+    ScriptedDiscovery,
+    ScriptedRespServer,
     always_reply,
     endpoint_list_response,
-    raw_config,
-    run_scenario,
     server_row,
-    wait_until,
 )
 
 
@@ -62,10 +59,10 @@
 
     def __init__(self) -> None:
         self.release = asyncio.Event()
-        self.counter = FakeRespServer(always_reply(b"$1\r\n1\r\n"))
-        self.server = FakeRespServer(self.reply)
+        self.counter = ScriptedRespServer(always_reply(b"$1\r\n1\r\n"))
+        self.server = ScriptedRespServer(self.reply)
         self.discovery_port, self.counter_port, self.listen_port = free_port(), free_port(), free_port()
-        self.discovery: FakeDiscovery | None = None
+        self.discovery: ScriptedDiscovery | None = None
 
     async def reply(self, words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
         await self.release.wait()
@@ -78,7 +75,7 @@
 
     async def start_discovery(self) -> None:
         """Starts discovery, until the gateway has its list and a watch is open."""
-        discovery = FakeDiscovery(endpoint_list_response(2, [server_row("new", self.server.port)]))
+        discovery = ScriptedDiscovery(endpoint_list_response(2, [server_row("new", self.server.port)]))
         self.discovery = discovery
         await discovery.start(self.discovery_port)
         await wait_until(lambda: len(discovery.targets) == 2)
--- a/tests/network/test_discovery_watch.py
+++ b/tests/network/test_discovery_watch.py
@@ -20,19 +20,15 @@
 )
 from quota_gateway.network.discovery.watch import EndpointWatch
 from quota_gateway.policy_api.endpoints import EndpointUpdate, UpdateKind
-from tests.network.harness import (
-    CUSTOMER,
-    OK_RESPONSE,
-    READ_FIELDS,
-    FakeDiscovery,
-    ScriptedPolicy,
+from tests.network.gateway_fixture import ScriptedPolicy, running_gateway
+from tests.network.samples import CUSTOMER, OK_RESPONSE, READ_FIELDS
+from tests.network.scenario import run_scenario, wait_until
+from tests.network.scripted_peers import (
+    ScriptedDiscovery,
     always_reply,
     endpoint_list_response,
     http_response,
-    run_scenario,
-    running_gateway,
     server_row,
-    wait_until,
 )
 from tests.network.simulated_discovery import ADDRESS, SimulatedDiscovery
 
@@ -181,7 +177,7 @@
 def test_a_drain_is_noticed_within_its_grace_after_any_bad_response_of_an_agent(response: bytes) -> None:
     async def scenario() -> None:
         rows = [server_row("s0", 80), server_row("s9", 81)]
-        discovery = FakeDiscovery(endpoint_list_response(4, rows))
+        discovery = ScriptedDiscovery(endpoint_list_response(4, rows))
         script = ScriptedPolicy(lambda event: [])
         async with running_gateway(policy=script, discovery=discovery) as gateway:
             await wait_until(lambda: len(discovery.targets) == 2 and "s9" in gateway.server_pools.pools)
@@ -214,7 +210,7 @@
     # A snapshot for every gateway, each time, is what kept discovery from answering.
     async def scenario() -> None:
         rows = [server_row("a", 80), server_row("b", 81)]
-        discovery = FakeDiscovery(
+        discovery = ScriptedDiscovery(
             endpoint_list_response(4, rows), http_response(b"", "503 Service Unavailable")
         )
         script = ScriptedPolicy(lambda event: [])
@@ -233,7 +229,7 @@
 def test_the_watch_survives_errors_and_applies_what_it_can_trust() -> None:
     async def scenario() -> None:
         rows = [server_row("a", 80), server_row("b", 81)]
-        discovery = FakeDiscovery(
+        discovery = ScriptedDiscovery(
             http_response(b"oops", "503 Service Unavailable"),
             http_response(b"{not json"),
             http_response(b'{"version":1,"full":true,"servers":[{"id":"a","state":"Ready"}]}'),
@@ -264,7 +260,7 @@
 
 def test_a_silent_agent_is_polled_on_a_new_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        discovery = FakeDiscovery()
+        discovery = ScriptedDiscovery()
         async with running_gateway(policy=ScriptedPolicy(lambda event: []), discovery=discovery):
             await wait_until(lambda: len(discovery.writers) >= 3)
 
@@ -274,7 +270,7 @@
 
 def test_discovery_that_is_down_keeps_no_gateway_from_serving() -> None:
     async def scenario() -> None:
-        discovery = FakeDiscovery(endpoint_list_response(1, []))
+        discovery = ScriptedDiscovery(endpoint_list_response(1, []))
         discovery.responses.clear()
         async with running_gateway(always_reply(OK_RESPONSE), discovery=discovery) as gateway:
             client = await gateway.connect_client()
@@ -285,7 +281,7 @@
 
 def test_a_response_from_an_old_address_is_dropped() -> None:
     async def scenario() -> None:
-        old, new = FakeDiscovery(endpoint_list_response(9, [server_row("a", 80)])), FakeDiscovery()
+        old, new = ScriptedDiscovery(endpoint_list_response(9, [server_row("a", 80)])), ScriptedDiscovery()
         await new.start()
         script = ScriptedPolicy(lambda event: [])
         async with running_gateway(policy=script, discovery=old) as gateway:
--- a/tests/network/test_endpoint_list.py
+++ b/tests/network/test_endpoint_list.py
@@ -19,20 +19,10 @@
     parse_endpoint_list,
 )
 from quota_gateway.policy_api.endpoints import EndpointUpdate
-from tests.network.harness import (
-    CUSTOMER,
-    OK_RESPONSE,
-    READ_FIELDS,
-    FakeDiscovery,
-    ScriptedPolicy,
-    always_reply,
-    endpoint_list_response,
-    forward_to,
-    run_scenario,
-    running_gateway,
-    server_row,
-    wait_until,
-)
+from tests.network.gateway_fixture import ScriptedPolicy, forward_to, running_gateway
+from tests.network.samples import CUSTOMER, OK_RESPONSE, READ_FIELDS
+from tests.network.scenario import run_scenario, wait_until
+from tests.network.scripted_peers import ScriptedDiscovery, always_reply, endpoint_list_response, server_row
 
 ENDPOINT_COUNT = 20_000
 
@@ -100,7 +90,7 @@
         many = [*server_rows(ENDPOINT_COUNT), server_row("s0", 80)]
         body = json.dumps({"version": 9, "full": True, "servers": many}).encode()
         assert len(body) > INCREMENTAL_PARSE_MIN_BYTES
-        discovery = FakeDiscovery()
+        discovery = ScriptedDiscovery()
         script = ScriptedPolicy(forward_to("s0"))
         async with running_gateway(always_reply(OK_RESPONSE), policy=script, discovery=discovery) as gateway:
             many[-1] = server_row("s0", gateway.servers[0].port)
--- a/tests/network/test_graceful_shutdown.py
+++ b/tests/network/test_graceful_shutdown.py
@@ -7,16 +7,10 @@
 import pytest
 
 from quota_gateway.network.process import drain_duration_s
-from tests.network.harness import (
-    CUSTOMER,
-    READ_FIELDS,
-    always_reply,
-    forwarding_policy,
-    reply_once_released,
-    run_scenario,
-    running_gateway,
-    wait_until,
-)
+from tests.network.gateway_fixture import forwarding_policy, running_gateway
+from tests.network.samples import CUSTOMER, READ_FIELDS
+from tests.network.scenario import run_scenario, wait_until
+from tests.network.scripted_peers import always_reply, reply_once_released
 
 
 def test_requests_that_arrive_after_sigterm_on_open_connections_are_served() -> None:
--- a/tests/network/test_http_connection.py
+++ b/tests/network/test_http_connection.py
@@ -9,7 +9,7 @@
 
 from quota_gateway.network.discovery import http_connection
 from quota_gateway.network.discovery.http_connection import HttpConnection
-from tests.network.harness import http_response
+from tests.network.scripted_peers import http_response
 
 
 class FakeTransport:
--- a/tests/network/test_listener.py
+++ b/tests/network/test_listener.py
@@ -8,17 +8,10 @@
 import pytest
 
 from quota_gateway.network import client_connection, listener
-from tests.network.harness import (
-    CUSTOMER,
-    ENCODED_REQUEST,
-    OK_RESPONSE,
-    READ_FIELDS,
-    always_reply,
-    forwarding_policy,
-    run_scenario,
-    running_gateway,
-    wait_until,
-)
+from tests.network.gateway_fixture import forwarding_policy, running_gateway
+from tests.network.samples import CUSTOMER, ENCODED_REQUEST, OK_RESPONSE, READ_FIELDS
+from tests.network.scenario import run_scenario, wait_until
+from tests.network.scripted_peers import always_reply
 
 
 def test_silent_partial_and_idle_connections_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/network/test_process.py
+++ b/tests/network/test_process.py
@@ -13,22 +13,18 @@
 import pytest
 
 from quota_gateway.network.counter_client import CONNECTION_COUNT
+from tests.network.gateway_fixture import raw_config
 from tests.network.gateway_processes import connect_when_listening, free_port, start_gateway
-from tests.network.harness import (
-    CUSTOMER,
-    OK_RESPONSE,
-    ORDER_FIELDS,
-    READ_FIELDS,
-    FakeDiscovery,
-    FakeRespServer,
+from tests.network.samples import CUSTOMER, OK_RESPONSE, ORDER_FIELDS, READ_FIELDS
+from tests.network.scenario import run_scenario, wait_until
+from tests.network.scripted_peers import (
     Reply,
     RespClient,
+    ScriptedDiscovery,
+    ScriptedRespServer,
     always_reply,
     endpoint_list_response,
-    raw_config,
-    run_scenario,
     server_row,
-    wait_until,
 )
 
 
@@ -60,8 +56,8 @@
 
     def __init__(self, version: int, rows: list[dict[str, Any]]) -> None:
         self.rows = rows
-        self.discovery = FakeDiscovery(endpoint_list_response(version, rows))
-        self.counter = FakeRespServer(self.reply)
+        self.discovery = ScriptedDiscovery(endpoint_list_response(version, rows))
+        self.counter = ScriptedRespServer(self.reply)
 
     async def reply(self, words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
         return counter_reply(words)
@@ -80,9 +76,11 @@
 
 
 @asynccontextmanager
-async def server_and_sites(reply: Reply, *versions: int) -> AsyncIterator[tuple[FakeRespServer, list[Site]]]:
+async def server_and_sites(
+    reply: Reply, *versions: int
+) -> AsyncIterator[tuple[ScriptedRespServer, list[Site]]]:
     """One server, and a site for each version of its list."""
-    server = FakeRespServer(reply)
+    server = ScriptedRespServer(reply)
     await server.start()
     sites = [Site(version, [server_row("s0", server.port)]) for version in versions]
     for site in sites:
--- a/tests/network/test_server_connection.py
+++ b/tests/network/test_server_connection.py
@@ -7,16 +7,10 @@
 import pytest
 
 from quota_gateway.network import server_pool
-from tests.network.harness import (
-    CUSTOMER,
-    OK_RESPONSE,
-    READ_FIELDS,
-    always_reply,
-    forwarding_policy,
-    run_scenario,
-    running_gateway,
-    wait_until,
-)
+from tests.network.gateway_fixture import forwarding_policy, running_gateway
+from tests.network.samples import CUSTOMER, OK_RESPONSE, READ_FIELDS
+from tests.network.scenario import run_scenario, wait_until
+from tests.network.scripted_peers import always_reply
 
 
 def test_a_late_duplicate_response_is_not_served_to_another_request(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/network/test_server_pool.py
+++ b/tests/network/test_server_pool.py
@@ -13,19 +13,10 @@
     AttemptCompleted,
     CallOutcome,
 )
-from tests.network.harness import (
-    CUSTOMER,
-    OK_RESPONSE,
-    READ_FIELDS,
-    FakeDiscovery,
-    always_reply,
-    endpoint_list_response,
-    forwarding_policy,
-    run_scenario,
-    running_gateway,
-    server_row,
-    wait_until,
-)
+from tests.network.gateway_fixture import forwarding_policy, running_gateway
+from tests.network.samples import CUSTOMER, OK_RESPONSE, READ_FIELDS
+from tests.network.scenario import run_scenario, wait_until
+from tests.network.scripted_peers import ScriptedDiscovery, always_reply, endpoint_list_response, server_row
 
 
 def test_the_most_recently_used_connection_is_reused() -> None:
@@ -65,7 +56,7 @@
 
 def test_removing_a_server_closes_its_idle_connections() -> None:
     async def scenario() -> None:
-        discovery = FakeDiscovery()
+        discovery = ScriptedDiscovery()
         script = forwarding_policy()
         async with running_gateway(always_reply(OK_RESPONSE), policy=script, discovery=discovery) as gateway:
             port = gateway.servers[0].port
--- a/tests/network/test_start.py
+++ b/tests/network/test_start.py
@@ -8,14 +8,14 @@
 
 import pytest
 
+from tests.network.gateway_fixture import raw_config
 from tests.network.gateway_processes import connect_when_listening, free_port, limited_gateway
-from tests.network.harness import (
-    FakeDiscovery,
-    FakeRespServer,
+from tests.network.scenario import run_scenario
+from tests.network.scripted_peers import (
+    ScriptedDiscovery,
+    ScriptedRespServer,
     always_reply,
     endpoint_list_response,
-    raw_config,
-    run_scenario,
     server_row,
 )
 
@@ -34,8 +34,8 @@
 def test_a_start_is_ready_on_a_tenth_of_a_core(tmp_path: Path, servers: int, discovery_up: bool) -> None:
     async def scenario() -> None:
         rows = [server_row(f"s{i}", 1 + i) for i in range(servers)]
-        counter = FakeRespServer(always_reply(b"+PONG\r\n"))
-        discovery = FakeDiscovery(endpoint_list_response(2, rows))
+        counter = ScriptedRespServer(always_reply(b"+PONG\r\n"))
+        discovery = ScriptedDiscovery(endpoint_list_response(2, rows))
         await counter.start()
         listen_port, discovery_port = free_port(), free_port()
         if discovery_up:
