--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -14,8 +14,6 @@
 from quota_gateway.policy.retries import RetryPolicy
 from quota_gateway.policy_api import actions, events
 from quota_gateway.policy_api.endpoints import EndpointUpdate, UpdateKind
-from quota_gateway.policy_state.customers import Refund
-from quota_gateway.policy_state.log_states import LoggedState
 from quota_gateway.policy_state.requests import Attempt, PendingRequest, ReplyState
 from quota_gateway.settings import Idempotency, RequestClass, Settings
 
@@ -44,9 +42,10 @@
         self.pending: dict[str, PendingRequest] = {}  # by request id
         self.attempts: dict[tuple[str, int], Attempt] = {}  # in flight; by request id and number
         self.queued: list[str] = []  # ids of requests that wait for a server
-        self.refunds: dict[str, Refund] = {}  # by id of a request whose client left before its counter reply
+        self.abandoned: dict[str, PendingRequest] = {}  # by id: their clients left before the counter's reply
         self._classes = {request_class.name: request_class for request_class in settings.classes}
-        self._logged_states: dict[str, LoggedState] = {}  # by event
+        self._logged_states: set[str] = set()  # events of the states that were last logged as begun
+        self._logged_at_ms: dict[str, float] = {}  # by event
         self._actions: list[actions.Action] = []  # of the event that is being handled
 
     def handle(self, now_ms: float, event: events.Event) -> list[actions.Action]:
@@ -101,10 +100,11 @@
 
     def _log_state_transition(self, now_ms: float, event: str, state: bool | str) -> None:
         """Log that a state began, with the servers that a text names, or ended."""
-        logged = self._logged_states.setdefault(event, LoggedState())
-        if bool(state) == logged.active or now_ms - logged.logged_at_ms < LOG_INTERVAL_MS:
+        lately = now_ms - self._logged_at_ms.get(event, -math.inf) < LOG_INTERVAL_MS
+        if lately or bool(state) == (event in self._logged_states):
             return
-        logged.active, logged.logged_at_ms = bool(state), now_ms
+        self._logged_states ^= {event}
+        self._logged_at_ms[event] = now_ms
         fields = [("state", "began" if state else "ended")]
         if state and isinstance(state, str):
             fields.append(("servers", state))
@@ -141,14 +141,14 @@
         if pending := self.pending.get(result.request_id):
             pending.reply = ReplyState.RECEIVED if received else ReplyState.MISSING
             self._admit_or_reject(now_ms, pending)
-        elif (refund := self.refunds.pop(result.request_id, None)) and received:
-            self._actions += self.counter_sync.refund(now_ms, refund.customer, refund.units)
+        elif (abandoned := self.abandoned.pop(result.request_id, None)) and received and abandoned.customer:
+            self._actions += self.counter_sync.refund(now_ms, abandoned.customer, abandoned.units)
 
     def _release(self, request_id: str) -> None:
         """Drop a request that is owed no answer any more: its client has left, or has begun to get one."""
         pending = self.pending.pop(request_id, None)
-        if pending is not None and pending.customer is not None and pending.reply is ReplyState.AWAITED:
-            self.refunds[request_id] = Refund(pending.customer, pending.units)
+        if pending is not None and pending.reply is ReplyState.AWAITED:
+            self.abandoned[request_id] = pending
 
     def _admit_or_reject(self, now_ms: float, pending: PendingRequest) -> None:
         """Admit a request by quota and capacity and start its first attempt, or reject it."""
--- a/quota_gateway/policy_state/__init__.py
+++ b/quota_gateway/policy_state/__init__.py
@@ -1,1 +1,4 @@
-"""Records of the policy's state. They hold no decision: `quota_gateway.policy` reads and changes them."""
+"""Records of the policy's state, which compare by identity.
+
+They hold no decision: the modules of `quota_gateway.policy` alone read and change them.
+"""
--- a/quota_gateway/policy_state/customers.py
+++ b/quota_gateway/policy_state/customers.py
@@ -10,7 +10,7 @@
 from quota_gateway.settings import Plan
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class Customer:
     """The buckets, the demand and the accounting window of one customer.
 
@@ -58,7 +58,7 @@
     lease_requested: bool = False  # a call for the correction lease has no reply yet
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class UsageCall:
     """A call that reports usage to the counter and has no reply yet; amounts are quota units."""
 
@@ -70,7 +70,7 @@
     window_start_ms: float = -math.inf  # the accounting window that it was made in
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class LeaseCall:
     """A call for the lease that lets one gateway correct a customer's total; it has no reply yet.
 
@@ -84,17 +84,9 @@
     correction: float  # quota units to add to the total
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class ReplyResult:
     """What a reply of the counter brought about."""
 
     request_id: str = ""  # the request that waited for it; empty: none
     actions: list[Action] = field(default_factory=list)
-
-
-@dataclass(slots=True)
-class Refund:
-    """Units that a call reported for a request whose client has left; due when its reply has come."""
-
-    customer: Customer
-    units: float
--- a/quota_gateway/policy_state/requests.py
+++ b/quota_gateway/policy_state/requests.py
@@ -20,7 +20,7 @@
     UNAVAILABLE = "unavailable"  # the counter does not reply to anyone
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class PendingRequest:
     """A request that awaits its final answer. Times are Unix milliseconds."""
 
@@ -38,7 +38,7 @@
     may_have_run_on: Endpoint | None = None  # the server of that attempt
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class Attempt:
     """An attempt in flight; it may outlive its request."""
 
--- a/quota_gateway/policy_state/servers.py
+++ b/quota_gateway/policy_state/servers.py
@@ -10,7 +10,7 @@
 NEVER_MS = -1e9  # a time before any event
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class Server:
     """One process of a server on the endpoint list; a restart gets a new record.
 
--- a/tests/policy/test_gateway.py
+++ b/tests/policy/test_gateway.py
@@ -164,7 +164,7 @@
     refunds = [(refund.key, refund.amount) for refund in of_type(actions, IncrementCounter)]
     assert refunds == [(call.key, -call.amount)]
     assert not of_type(actions, StartAttempt)
-    assert not host.gateway.refunds
+    assert not host.gateway.abandoned
 
 
 # --- the gateway as a whole ----------------------------------------------------------------------------
