--- a/quota_gateway/network/bridge.py
+++ b/quota_gateway/network/bridge.py
@@ -44,6 +44,7 @@
     split_update,
 )
 from quota_gateway.policy_api.events import (
+    DID_NOT_RUN,
     AttemptCompleted,
     CallOutcome,
     ClientDisconnected,
@@ -57,7 +58,6 @@
 
 TIMER_RETRY_MS = 250.0  # a timer whose event made the policy fail fires again after this
 TIMER_SLACK_S = 0.001  # the loop's clock is coarse, and a timer must not fire early
-DID_NOT_RUN = (CallOutcome.REJECTED, CallOutcome.UNREACHABLE, CallOutcome.NOT_SENT)
 
 
 class Policy(Protocol):
--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -18,7 +18,6 @@
 from quota_gateway.settings import Idempotency, RequestClass, Settings
 
 TICK_MS = 250.0  # between two looks at the capacity, the counter and the queued requests
-DID_NOT_RUN = (events.CallOutcome.REJECTED, events.CallOutcome.UNREACHABLE, events.CallOutcome.NOT_SENT)
 MAX_QUEUED = 0.3  # share of its latency objective for which a request may wait for a server
 MIN_BUSY_ATTEMPTS = 4.0  # attempts in flight; fewer tell nothing of the fleet's load
 BUSY_ATTEMPTS_PER_SERVER = 2.0  # the same for each server, over all gateways together
@@ -228,7 +227,7 @@
             del self.pending[event.request_id]
             return
         pending.in_flight -= 1
-        if event.outcome not in DID_NOT_RUN and pending.may_have_run_at_ms is None:
+        if event.outcome not in events.DID_NOT_RUN and pending.may_have_run_at_ms is None:
             pending.may_have_run_at_ms = attempt.started_at_ms
             pending.may_have_run_on = attempt.endpoint
         if pending.in_flight > 0:
--- a/quota_gateway/policy_api/events.py
+++ b/quota_gateway/policy_api/events.py
@@ -37,6 +37,10 @@
     NOT_SENT = "not_sent"  # never written to a connection; did not run
 
 
+# Outcomes after which the request surely never ran, so that a retry can't repeat it.
+DID_NOT_RUN = (CallOutcome.REJECTED, CallOutcome.UNREACHABLE, CallOutcome.NOT_SENT)
+
+
 @dataclass(frozen=True, slots=True)
 class Request:
     """A client's request; the policy owes it exactly one final answer within `time_left_ms`."""
