--- a/quota_gateway/network/discovery/endpoint_list.py
+++ b/quota_gateway/network/discovery/endpoint_list.py
@@ -1,9 +1,8 @@
 """Parsers of discovery's endpoint list: one for a whole document, one that works in steps.
 
-Discovery sends ``{"version": 41, "full": true, "servers": [...]}`` (PROTOCOL, Discovery). `full` tells a
-snapshot
-from a delta. Both parsers give the same `VersionedUpdate` for the same text and raise `EndpointListError` for
-what is no such list.
+Discovery sends ``{"version": 41, "full": true, "servers": [...]}`` (PROTOCOL, Discovery). `full`
+tells a snapshot from a delta. Both parsers give the same `VersionedUpdate` for the same text and raise
+`EndpointListError` for what is no such list.
 """
 
 from __future__ import annotations
