--- a/quota_gateway/policy/__init__.py
+++ b/quota_gateway/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of the gateway: admission, endpoint choice, retries. No sockets and no clock of its own."""
+"""The policy of the gateway: admission, endpoint choice and retries. It does no I/O and reads no clock."""
--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -1,7 +1,7 @@
-"""The lifecycle of a request in one gateway: admission, attempts, retries, exactly one final answer.
+"""The lifecycle of a request in one gateway: admission, attempts, retries and exactly one final answer.
 
-The host feeds events to `Gateway.handle` and carries out the actions that it returns. There is no clock and
-no socket here, and one random generator: the same events and seed give the same actions.
+The host passes events to `Gateway.handle` and carries out the actions that it returns. The policy does no
+I/O, reads no clock and has a single random generator, so the same events and seed give the same actions.
 """
 
 import math
@@ -17,18 +17,27 @@
 from quota_gateway.policy_state.requests import Attempt, PendingRequest, ReplyState
 from quota_gateway.settings import Idempotency, RequestClass, Settings
 
-TICK_MS = 250.0  # between two looks at the capacity, the counter and the queued requests
-MAX_QUEUED = 0.3  # share of its latency objective for which a request may wait for a server
-MIN_BUSY_ATTEMPTS = 4.0  # attempts in flight; fewer tell nothing of the fleet's load
-BUSY_ATTEMPTS_PER_SERVER = 2.0  # the same for each server, over all gateways together
-IN_FLIGHT_WEIGHT = 0.02  # of a new duration in the mean duration of attempts
-LOG_INTERVAL_MS = 5000.0  # between two log events of one state, which may come and go fast
-LOGGED_CALL_SHARE = 0.5  # of the wanted counter calls; below it operators are notified
-LOGGED_BASELINE = 0.2  # failure score of the median server; above it operators are notified
+# Interval at which the capacity estimate, the counter reports and the queued requests are updated.
+TICK_MS = 250.0
+# Longest wait of a request for a server, as a share of its latency objective.
+MAX_QUEUED_SHARE = 0.3
+# Attempts in flight above which a gateway counts as busy. With fewer attempts, its work in flight says
+# nothing about the load of the fleet.
+MIN_BUSY_ATTEMPTS = 4.0
+# Attempts in flight per server, summed over all gateways, above which gateways count as busy.
+BUSY_ATTEMPTS_PER_SERVER = 2.0
+# Weight of a new duration in the moving mean of attempt durations.
+ATTEMPT_DURATION_WEIGHT = 0.02
+# Minimum time between two log events of one state, which may begin and end in quick succession.
+MIN_LOG_INTERVAL_MS = 5000.0
+# Operators are notified while counter calls are throttled below this share of the wanted calls.
+LOGGED_CALL_SHARE = 0.5
+# Operators are notified while the failure score of the median server is above this.
+LOGGED_BASELINE_SCORE = 0.2
 
 
 class Gateway:
-    """Follows each request to its one final answer. Hosts call `handle` alone."""
+    """Tracks each request until its one final answer. `handle` is the only method that hosts call."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -39,20 +48,21 @@
         self.retries = RetryPolicy(settings, self.load_balancer)
         self.capacity = CapacityEstimator()
         self.pending: dict[str, PendingRequest] = {}  # by request id
-        self.attempts: dict[tuple[str, int], Attempt] = {}  # in flight; by request id and number
-        self.queued: list[str] = []  # ids of requests that wait for a server
-        self.abandoned: dict[str, PendingRequest] = {}  # by id: their clients left before the counter's reply
+        self.attempts: dict[tuple[str, int], Attempt] = {}  # in flight, by request id and attempt number
+        self.queued: list[str] = []  # ids of the requests that wait for a server
+        # Requests whose client left before the counter replied, by request id.
+        self.abandoned: dict[str, PendingRequest] = {}
         self._classes = {request_class.name: request_class for request_class in settings.classes}
-        self._logged_states: set[str] = set()  # events of the states that were last logged as begun
-        self._logged_at_ms: dict[str, float] = {}  # by event
-        self._actions: list[actions.Action] = []  # of the event that is being handled
+        self._logged_states: set[str] = set()  # log events whose state was last logged as begun
+        self._logged_at_ms: dict[str, float] = {}  # time of the last log event, by event name
+        self._actions: list[actions.Action] = []  # the result of handling the current event
 
     def handle(self, now_ms: float, event: events.Event) -> list[actions.Action]:
-        """Take one event, at Unix time `now_ms`; return the actions to carry out, in order."""
+        """Handle one event at Unix time `now_ms` and return the actions to carry out, in this order."""
         self._actions = []
         if self.quota.started_at_ms == math.inf:
             self.quota.started_at_ms = now_ms
-            # At random, as the ticks of gateways that start together would coincide.
+            # Random jitter desynchronises the ticks of gateways that start together.
             self._actions.append(actions.SetTimer(0, now_ms + TICK_MS * self.rng.uniform(0.5, 1.5)))
         match event:
             case events.Request():
@@ -74,7 +84,7 @@
         return self._actions
 
     def tick(self, now_ms: float) -> None:
-        """Do what is due by time alone, and set the timer for the next tick."""
+        """Update the capacity estimate, logs, counter reports and queued requests; set the next timer."""
         self._actions.append(actions.SetTimer(0, now_ms + TICK_MS))
         self.capacity.end_window(now_ms, self.attempts.values())
         self._log_states(now_ms)
@@ -85,22 +95,27 @@
         self._resume_queued(now_ms)
 
     def _log_states(self, now_ms: float) -> None:
-        health, balancer = self.counter_sync.health, self.load_balancer
+        """Log each state that has begun or ended since it was last logged."""
+        health = self.counter_sync.health
+        balancer = self.load_balancer
         states: dict[str, bool | str] = {
             "counter_unavailable": self.settings.counter_enabled and not health.available,
             "counter_calls_throttled": health.call_share < LOGGED_CALL_SHARE,
             "capacity_limited": self.capacity.capacity < math.inf,
             "no_endpoints": not balancer.endpoints.servers,
-            "fleet_failing": balancer.outliers.baseline > LOGGED_BASELINE,
+            "fleet_failing": balancer.outliers.baseline > LOGGED_BASELINE_SCORE,
             "outliers_ejected": ", ".join(balancer.outliers.detect(now_ms)),
         }
         for event, state in states.items():
             self._log_state_transition(now_ms, event, state)
 
     def _log_state_transition(self, now_ms: float, event: str, state: bool | str) -> None:
-        """Log that a state began, with the servers that a text names, or ended."""
-        lately = now_ms - self._logged_at_ms.get(event, -math.inf) < LOG_INTERVAL_MS
-        if lately or bool(state) == (event in self._logged_states):
+        """Log that a state began or ended; a text as the state lists the servers concerned.
+
+        Empty text and False stand for a state that does not hold.
+        """
+        logged_recently = now_ms - self._logged_at_ms.get(event, -math.inf) < MIN_LOG_INTERVAL_MS
+        if logged_recently or bool(state) == (event in self._logged_states):
             return
         self._logged_states ^= {event}
         self._logged_at_ms[event] = now_ms
@@ -110,23 +125,26 @@
         self._actions.append(actions.LogEvent(event, tuple(fields)))
 
     def _on_request(self, now_ms: float, request: events.Request) -> None:
-        """Take in a request; it may have to wait for a counter reply before it is admitted."""
-        left_ms = request.time_left_ms
+        """Accept a new request; it may have to wait for a counter reply before it is admitted."""
+        time_left_ms = request.time_left_ms
         request_class = self._classes.get(request.class_name)
-        if request_class is None:  # it must not run twice
-            request_class = RequestClass("", left_ms, 1.0, Idempotency.NON_IDEMPOTENT)
-        if left_ms <= 0 or len(self.pending) >= self.settings.max_pending_requests - 1:
+        if request_class is None:  # an unknown class counts as non-idempotent: it must not run twice
+            request_class = RequestClass("", time_left_ms, 1.0, Idempotency.NON_IDEMPOTENT)
+        if time_left_ms <= 0 or len(self.pending) >= self.settings.max_pending_requests - 1:
             self._actions.append(actions.Reject(request.request_id, self.settings.max_retry_after_ms))
             return
 
-        self.retries.add_request()
-        customer, request_id = self.quota.customer_of(now_ms, request), request.request_id
-        pending = PendingRequest(request_id, request.units, request_class, customer, now_ms, now_ms + left_ms)
+        self.retries.add_retry_credit()
+        customer = self.quota.customer_of(now_ms, request)
+        request_id = request.request_id
+        pending = PendingRequest(
+            request_id, request.units, request_class, customer, now_ms, now_ms + time_left_ms
+        )
         self.pending[request_id] = pending
         if customer is not None:
             self.counter_sync.refresh(now_ms, customer)
-            has_time = left_ms >= 2.0 * self.settings.counter_timeout_ms + TICK_MS
-            if has_time and self.counter_sync.needs_reply(now_ms, customer, request.units):
+            has_time_for_reply = time_left_ms >= 2.0 * self.settings.counter_timeout_ms + TICK_MS
+            if has_time_for_reply and self.counter_sync.needs_reply(now_ms, customer, request.units):
                 calls = self.counter_sync.request_reply(now_ms, customer, request)
                 pending.reply = ReplyState.AWAITED if calls else ReplyState.MISSING
                 self._actions += calls
@@ -136,28 +154,33 @@
     def _on_counter_reply(self, now_ms: float, reply: events.CounterReply) -> None:
         result = self.counter_sync.on_reply(now_ms, reply)
         self._actions += result.actions
-        received = reply.outcome is events.CallOutcome.OK
+        call_succeeded = reply.outcome is events.CallOutcome.OK
         if pending := self.pending.get(result.request_id):
-            pending.reply = ReplyState.RECEIVED if received else ReplyState.MISSING
+            pending.reply = ReplyState.RECEIVED if call_succeeded else ReplyState.MISSING
             self._admit_or_reject(now_ms, pending)
-        elif (abandoned := self.abandoned.pop(result.request_id, None)) and received and abandoned.customer:
+            return
+        abandoned = self.abandoned.pop(result.request_id, None)
+        if abandoned and call_succeeded and abandoned.customer:
             self._actions += self.counter_sync.refund(now_ms, abandoned.customer, abandoned.units)
 
     def _release(self, request_id: str) -> None:
-        """Drop a request that is owed no answer any more: its client has left, or has begun to get one."""
+        """Drop a request that needs no final answer: its client has left or is receiving a response."""
         pending = self.pending.pop(request_id, None)
         if pending is not None and pending.reply is ReplyState.AWAITED:
             self.abandoned[request_id] = pending
 
     def _admit_or_reject(self, now_ms: float, pending: PendingRequest) -> None:
-        """Admit a request by quota and capacity and start its first attempt, or reject it."""
-        customer, units, reply = pending.customer, pending.units, pending.reply
+        """Start the first attempt of a request if its quota and the capacity admit it, or reject it."""
+        customer = pending.customer
+        units = pending.units
+        reply = pending.reply
         if customer is not None:
-            basis = reply if self.counter_sync.health.available else ReplyState.UNAVAILABLE
-            retry_after_ms = self.quota.admit(now_ms, customer, units, basis)
+            known_reply = reply if self.counter_sync.health.available else ReplyState.UNAVAILABLE
+            retry_after_ms = self.quota.admit(now_ms, customer, units, known_reply)
             servers_per_gateway = len(self.load_balancer.endpoints.servers) / self.settings.gateway_count
-            busy = len(self.attempts) > max(MIN_BUSY_ATTEMPTS, BUSY_ATTEMPTS_PER_SERVER * servers_per_gateway)
-            if retry_after_ms is None and not self.capacity.admit(pending, customer.plan.price, busy):
+            busy_attempts = max(MIN_BUSY_ATTEMPTS, BUSY_ATTEMPTS_PER_SERVER * servers_per_gateway)
+            is_busy = len(self.attempts) > busy_attempts
+            if retry_after_ms is None and not self.capacity.admit(pending, customer.plan.price, is_busy):
                 retry_after_ms = self.settings.max_retry_after_ms
             if retry_after_ms is not None:
                 if reply is ReplyState.RECEIVED:
@@ -166,20 +189,24 @@
                 retry_after_ms = max(1.0, min(retry_after_ms, self.settings.max_retry_after_ms))
                 self._actions.append(actions.Reject(pending.request_id, retry_after_ms))
                 return
-            # Charged now and not when an attempt starts: queued requests must not exceed a limit together.
-            self.quota.charge(customer, units, basis)
-            if reply is ReplyState.NOT_NEEDED:  # else its call, or another's, has reported its units
+            # The units are charged at admission, before any attempt, so that queued requests can't exceed
+            # a limit together.
+            self.quota.charge(customer, units, known_reply)
+            # In the other states the units are already reported: by the call of this request or, while calls
+            # are throttled, by the scaled-up call of another request.
+            if reply is ReplyState.NOT_NEEDED:
                 self.counter_sync.record_usage(customer, units)
             self._actions += self.counter_sync.report_usage(now_ms, customer)
         self._start_attempt(now_ms, pending)
 
     def _start_attempt(self, now_ms: float, pending: PendingRequest) -> None:
-        """Start an attempt; where no server may be sent the request, queue it or give its final answer."""
+        """Start an attempt; if no server can be used, queue the request or give its final answer."""
         server = self.load_balancer.choose(now_ms, pending)
         if server is None:
-            max_wait_ms = MAX_QUEUED * pending.request_class.latency_objective_ms
+            max_wait_ms = MAX_QUEUED_SHARE * pending.request_class.latency_objective_ms
             if now_ms - pending.received_at_ms < max_wait_ms and now_ms < pending.deadline_ms - 2 * TICK_MS:
-                self.queued.append(pending.request_id)  # a server may come up, or a slow-start slot may open
+                # A server may come up or a slow-start slot may open in time.
+                self.queued.append(pending.request_id)
             else:
                 self._finish_unserved(pending)
             return
@@ -198,19 +225,20 @@
         self.capacity.attempt_started(attempt)
 
     def _resume_queued(self, now_ms: float) -> None:
-        """Try again to find servers for the queued requests."""
-        queued, self.queued = self.queued, []
+        """Try again to start attempts for the queued requests."""
+        queued = self.queued
+        self.queued = []
         for request_id in queued:
             pending = self.pending.get(request_id)
             if pending is None or pending.in_flight:
                 continue
             if pending.may_have_run_at_ms is None or self.retries.may_retry(now_ms, pending):
                 self._start_attempt(now_ms, pending)
-            else:  # the servers may have forgotten its idempotency key
+            else:  # the deduplication window may have ended: servers no longer know the idempotency key
                 self._finish_unserved(pending)
 
     def _on_attempt_completed(self, now_ms: float, event: events.AttemptCompleted) -> None:
-        """Learn from an attempt's outcome; then retry its request, or give the final answer that is owed."""
+        """Record the outcome of an attempt, then retry its request or give the pending final answer."""
         if (attempt := self.attempts.pop((event.request_id, event.attempt), None)) is None:
             return
         pending = attempt.pending
@@ -218,8 +246,9 @@
         self.capacity.attempt_completed(now_ms, attempt, event)
         if pending.customer is not None:
             pending.customer.in_flight -= 1
-            duration_s, mean_s = event.duration_ms / 1000.0, self.quota.mean_in_flight_s
-            self.quota.mean_in_flight_s += IN_FLIGHT_WEIGHT * (duration_s - mean_s)
+            duration_s = event.duration_ms / 1000.0
+            mean_s = self.quota.mean_in_flight_s
+            self.quota.mean_in_flight_s += ATTEMPT_DURATION_WEIGHT * (duration_s - mean_s)
 
         if event.request_id not in self.pending:
             return
@@ -232,14 +261,17 @@
             pending.may_have_run_on = attempt.endpoint
         if pending.in_flight > 0:
             return
-        sent = event.outcome is not events.CallOutcome.NOT_SENT
-        if sent and self.retries.may_retry(now_ms, pending) and self.retries.take_from_budget():
+        was_sent = event.outcome is not events.CallOutcome.NOT_SENT
+        if was_sent and self.retries.may_retry(now_ms, pending) and self.retries.take_retry_credit():
             self._start_attempt(now_ms, pending)
         else:
             self._finish_unserved(pending)
 
     def _finish_unserved(self, pending: PendingRequest) -> None:
-        """Give the final answer of a request that was not served; a rejection says that it did not run."""
+        """Give the final answer of a request that no server answered.
+
+        `Reject` tells the client that the request did not run; `Fail` promises nothing about its effect.
+        """
         del self.pending[pending.request_id]
         if pending.may_have_run_at_ms is None:
             self._actions.append(actions.Reject(pending.request_id, self.settings.max_retry_after_ms))
