--- a/quota_gateway/policy/endpoints.py
+++ b/quota_gateway/policy/endpoints.py
@@ -1,8 +1,9 @@
 """The endpoint index: the servers on the list, and the subset of them that this gateway uses.
 
-With many gateways and servers, each gateway uses a subset: it opens few connections, and meets each server of
-the subset often enough to learn how it does. Requests, changes of the list and ticks look at the subset, a
-sample of the remaining endpoints and what has changed; their cost does not grow with the list.
+In a large fleet each gateway uses only a subset of the servers. This keeps the number of connections low, and
+the gateway sends enough requests to each server of the subset to learn its latency and failures. Requests,
+changes of the list and ticks look only at the subset, a sample of the remaining endpoints and the changed
+endpoints, so their cost does not grow with the length of the list.
 """
 
 import heapq
@@ -14,34 +15,37 @@
 from quota_gateway.policy_state.servers import Server, WarmingServer
 from quota_gateway.settings import Settings, SlowStartSettings
 
-SUBSET_SIZE = 20  # servers that a gateway uses; smaller fleets are used whole
-SAMPLE_SIZE = 4  # servers drawn at random: the best of a few is nearly as good as the best of all
+# Number of servers in the subset of a gateway. A fleet of at most this many servers is used as a whole.
+SUBSET_SIZE = 20
+# Number of servers drawn at random from a group: the best of a few random ones is nearly the best of all.
+SAMPLE_SIZE = 4
 GOLDEN_RATIO_CONJUGATE = 0.5 * (math.sqrt(5.0) - 1.0)
 
-GroupKey = str | tuple[str, int] | None  # the servers of a zone, of a cell of a zone, or all
+# Key of a group of servers: a zone, a zone with one of its cells, or None for all servers.
+GroupKey = str | tuple[str, int] | None
 
 
 def group_keys(endpoint: Endpoint) -> tuple[GroupKey, ...]:
-    """Return the keys of all groups that a server belongs to."""
+    """Return the keys of all groups that a server belongs to: all servers, its zone, its cell."""
     return None, endpoint.zone, (endpoint.zone, endpoint.cell)
 
 
 class SampledSet:
-    """A set of servers that can be sampled at a cost that does not grow with the set."""
+    """A set of servers with random sampling at a cost that does not grow with its size."""
 
     def __init__(self) -> None:
         self.members: list[Server] = []
-        self.indexes: dict[str, int] = {}  # of each server id in `members`
+        self.indexes: dict[str, int] = {}  # index in `members`, by server id
 
     def add(self, server: Server) -> None:
-        """Add a server, in place of another process with its id if there is one."""
+        """Add a server; it replaces the record of an earlier process with the same id."""
         index = self.indexes.setdefault(server.endpoint.server_id, len(self.members))
         if index == len(self.members):
             self.members.append(server)
         self.members[index] = server
 
     def discard(self, server_id: str) -> None:
-        """Remove a server, if it is a member; the last member gets its place."""
+        """Remove a server if it is a member. The last member moves to its index."""
         if (index := self.indexes.pop(server_id, None)) is None:
             return
         last = self.members.pop()
@@ -51,26 +55,26 @@
 
 
 class RemainingEndpoints:
-    """Warm servers outside the subset, in groups: some retries are bound to a zone or a cell."""
+    """Warm servers outside the subset, grouped by zone and cell, since some retries are bound to a group."""
 
     def __init__(self, rules: SlowStartSettings) -> None:
         self.groups: dict[GroupKey, SampledSet] = {}
         self._rules = rules
-        self._warming: list[WarmingServer] = []  # a heap
+        self._warming: list[WarmingServer] = []  # a heap, the next to be warm first
 
     def add(self, now_ms: float, server: Server) -> None:
-        """Add a server, at once or as soon as it is warm."""
+        """Add a server if it is warm; otherwise schedule it for `add_warmed`."""
         endpoint = server.endpoint
         warm_at_ms = endpoint.started_ms + max(1.0, self._rules.warm_up_ms)
-        warming = endpoint.started_ms > 0 and self._rules.initial_capacity_share < 1.0
-        if warming and warm_at_ms > now_ms:
+        has_slow_start = endpoint.started_ms > 0 and self._rules.initial_capacity_share < 1.0
+        if has_slow_start and warm_at_ms > now_ms:
             heapq.heappush(self._warming, WarmingServer(warm_at_ms, endpoint.server_id, endpoint.started_ms))
             return
         for key in group_keys(endpoint):
             self.groups.setdefault(key, SampledSet()).add(server)
 
     def discard(self, endpoint: Endpoint) -> None:
-        """Remove a server from every group; `endpoint` is the entry that it was added with."""
+        """Remove a server from its groups. `endpoint` must be the list entry with which it was added."""
         for key in group_keys(endpoint):
             if group := self.groups.get(key):
                 group.discard(endpoint.server_id)
@@ -78,7 +82,7 @@
                     del self.groups[key]
 
     def add_warmed(self, now_ms: float, servers: dict[str, Server]) -> None:
-        """Add the servers that have become warm, unless they left, restarted or joined the subset."""
+        """Add scheduled servers that are warm by now, unless they left, restarted or joined the subset."""
         while self._warming and self._warming[0].warm_at_ms <= now_ms:
             _, server_id, started_ms = heapq.heappop(self._warming)
             server = servers.get(server_id)
@@ -86,26 +90,29 @@
                 self.add(now_ms, server)
 
     def sample(self, rng: random.Random, key: GroupKey) -> list[Server]:
-        """Return a few servers of a group at random, or all of them where there are no more."""
+        """Return up to `SAMPLE_SIZE` servers of a group, drawn at random if the group has more."""
         members = self.groups[key].members if key in self.groups else []
         return rng.sample(members, SAMPLE_SIZE) if len(members) > SAMPLE_SIZE else members
 
 
 class EndpointIndex:
-    """Follows the endpoint list. Draining and gone servers are removed at once and get no new attempt."""
+    """Index of the listed servers. Draining and gone servers are removed at once and get no new attempt."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.servers: dict[str, Server] = {}  # by id
-        self.subset: dict[str, Server] = {}  # by id
+        self.servers: dict[str, Server] = {}  # all listed servers, by id
+        self.subset: dict[str, Server] = {}  # the servers that this gateway uses, by id
         self.remaining = RemainingEndpoints(settings.slow_start)
         self.ring = HashRing()
 
     def update(self, update: EndpointUpdate, now_ms: float) -> list[Server]:
         """Apply an update of the list; return the records of new processes, in the order of the list."""
-        changed: dict[str, None] = {}  # ids that came or went; a dict, as its order is the same in every run
+        # Ids that were added or removed. Unlike a set, a dict has the same order in every run.
+        changed: dict[str, None] = {}
         started: list[Server] = []
-        servers, active = self.servers, EndpointState.ACTIVE  # looked up once: lists may be long
+        # Local variables avoid repeated attribute lookups: the list may be long.
+        servers = self.servers
+        active = EndpointState.ACTIVE
         if update.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED_SNAPSHOT):
             listed = {endpoint.server_id for endpoint in update.endpoints}
             for server_id in [server_id for server_id in servers if server_id not in listed]:
@@ -115,7 +122,7 @@
             if endpoint.state is not active:
                 self._remove(endpoint.server_id, changed)
             elif known is None or known.endpoint != endpoint:
-                started += self._set(now_ms, endpoint, known)
+                started += self._add_or_replace(now_ms, endpoint, known)
                 if known is None:
                     changed[endpoint.server_id] = None
         if changed:
@@ -124,7 +131,7 @@
         return started
 
     def warm_up_factor(self, endpoint: Endpoint, now_ms: float) -> float:
-        """Return the least share of its full capacity that a server has by now; 1: it is warm."""
+        """Return the minimum share of its full capacity that a server has by now; 1 means that it is warm."""
         if endpoint.started_ms <= 0:
             return 1.0
         rules = self.settings.slow_start
@@ -132,13 +139,15 @@
         return min(1.0, rules.initial_capacity_share + (1.0 - rules.initial_capacity_share) * progress)
 
     def warm_count(self, now_ms: float) -> int:
-        """Return how many servers of the subset are warm by now."""
+        """Return the number of servers in the subset that are warm by now."""
         return sum(self.warm_up_factor(server.endpoint, now_ms) >= 1.0 for server in self.subset.values())
 
     def choose_subset(self, now_ms: float) -> None:
-        """Choose the subset: neighbours on the hash ring, so that a change moves it by one server at most.
+        """Choose the subset: consecutive servers on the hash ring, beginning at an angle of this gateway.
 
-        Multiples of the golden ratio spread the gateways' subsets evenly, consecutive ones far apart.
+        Adding or removing a server therefore replaces at most one server of a subset. The angles are
+        multiples of the golden ratio, which spreads the subsets evenly and puts those of consecutive gateways
+        far apart.
         """
         angle = self.settings.gateway_index * GOLDEN_RATIO_CONJUGATE % 1.0
         chosen = dict.fromkeys(self.ring.successors(angle, SUBSET_SIZE))
@@ -146,7 +155,8 @@
             server = self.subset.pop(server_id)
             server.in_subset = False
             self.remaining.add(now_ms, server)
-        if len(self.servers) <= SUBSET_SIZE:  # all of them, in the order of the list
+        if len(self.servers) <= SUBSET_SIZE:
+            # The subset holds all servers, in the order of the list.
             self.subset = dict(self.servers)
         for server_id in chosen:
             server = self.subset.setdefault(server_id, self.servers[server_id])
@@ -154,13 +164,16 @@
                 server.in_subset = True
                 self.remaining.discard(server.endpoint)
 
-    def _set(self, now_ms: float, endpoint: Endpoint, known: Server | None) -> list[Server]:
-        """Add a server, or apply the changed entry of a known one; return the record of a new process."""
+    def _add_or_replace(self, now_ms: float, endpoint: Endpoint, known: Server | None) -> list[Server]:
+        """Add a server, or apply the changed list entry of a known one.
+
+        Returns a list with the record of a newly started process, or an empty list.
+        """
         if known is None:
             server = Server(endpoint)
         elif known.endpoint.started_ms == endpoint.started_ms:
             server = known
-        else:  # it has restarted: what was learned of the process before says nothing of the new one
+        else:  # the server has restarted: statistics of the earlier process don't hold for the new one
             server = Server(endpoint, in_flight=known.in_flight, in_subset=known.in_subset)
         if known is not None and not known.in_subset:
             self.remaining.discard(known.endpoint)
@@ -173,6 +186,7 @@
         return [server] if server is not known else []
 
     def _remove(self, server_id: str, changed: dict[str, None]) -> None:
+        """Remove a server, if it is listed, and add its id to `changed`."""
         if (server := self.servers.pop(server_id, None)) is not None:
             changed[server_id] = None
             self.subset.pop(server_id, None)
