--- a/quota_gateway/policy_api/actions.py
+++ b/quota_gateway/policy_api/actions.py
@@ -1,4 +1,7 @@
-"""Actions: what the policy asks its host to do, carried out in the order returned."""
+"""Actions: what the policy asks its host to do.
+
+The host carries out actions in the order in which `Gateway.handle` returns them.
+"""
 
 from __future__ import annotations
 
@@ -7,16 +10,16 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Forward a request to a server. Attempts of a request are numbered 0, 1, 2 ..."""
+    """Forward a request to a server. The attempts of a request are numbered 0, 1, 2 and so on."""
 
     request_id: str
     server_id: str
-    timeout_ms: float = 0.0  # 0: until the client's deadline
+    timeout_ms: float = 0.0  # 0 means until the client's deadline
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt in flight. The host still reports its `AttemptCompleted`."""
 
     request_id: str
     attempt: int
@@ -24,22 +27,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: rejected, not run; a retry is harmless."""
+    """Final answer: the request was rejected and has not run, so that a client can safely retry it."""
 
     request_id: str
-    retry_after_ms: float = 0.0  # 0: none given
+    retry_after_ms: float = 0.0  # 0 means that none is given
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, with no promise about the effect."""
+    """Final answer: the request failed; it may or may not have taken effect."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` with this token at or after `at_ms`."""
+    """Ask for a `TimerFired` event with this token at or after the Unix time `at_ms`."""
 
     token: int
     at_ms: float
@@ -47,7 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class IncrementCounter:
-    """Add `amount` units to the shared counter under `key`, which expires `ttl_ms` after its first call."""
+    """Add `amount` quota units to the shared counter under `key`.
+
+    The key expires `ttl_ms` after the first call for it. A negative amount corrects the total.
+    """
 
     key: int
     amount: float
@@ -56,12 +62,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Ask for updates to the endpoint list from now on."""
+    """Watch the endpoint list: ask for an `EndpointUpdate` for each change from now on."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """A line for the operators: an event name in snake case, and fields rendered as `key=value`."""
+    """Write a log line for operators: an event name in snake case, and fields rendered as `key=value`."""
 
     event: str
     fields: tuple[tuple[str, str], ...] = ()
--- a/quota_gateway/policy_api/endpoints.py
+++ b/quota_gateway/policy_api/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the policy is given it: endpoints, and updates to the list."""
+"""The endpoint list that the host passes to the policy: endpoints and updates of the list."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class UpdateKind(Enum):
-    """What an `EndpointUpdate` holds."""
+    """The kind of content of an `EndpointUpdate`."""
 
-    SNAPSHOT = "snapshot"  # every endpoint; absent ones are gone
+    SNAPSHOT = "snapshot"  # all endpoints; a server that is not among them is gone
     DELTA = "delta"  # changed endpoints only
-    CACHED_SNAPSHOT = "cached_snapshot"  # a snapshot from before the start, possibly stale
-    WATCH_FAILED = "watch_failed"  # a watch or a fetch failed; no endpoints
+    CACHED_SNAPSHOT = "cached_snapshot"  # a snapshot that was stored before the start and may be stale
+    WATCH_FAILED = "watch_failed"  # a watch or a fetch of the list failed; holds no endpoints
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,15 +30,15 @@
 
     server_id: str
     zone: str
-    cell: int = 0  # failure domain inside the zone
-    weight: float = 1.0  # size relative to the other servers
-    started_ms: float = 0.0  # Unix time of its last start; 0: long ago
+    cell: int = 0  # failure domain within the zone
+    weight: float = 1.0  # capacity relative to the other servers
+    started_ms: float = 0.0  # Unix time of the last start; 0 means long ago
     state: EndpointState = EndpointState.ACTIVE
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """A snapshot of the endpoint list or a delta to it."""
+    """A snapshot of the endpoint list, a delta to it, or the failure of a watch."""
 
     kind: UpdateKind
     endpoints: tuple[Endpoint, ...] = ()
@@ -49,12 +49,13 @@
 ) -> Iterator[EndpointUpdate]:
     """Split a snapshot into deltas of at most `chunk_size` endpoints.
 
-    A host with a long endpoint list hands the chunks over one by one, with other events in between; in this
-    order they amount to the snapshot. `known` holds the ids of the endpoints listed before; endpoints that
-    are gone or draining come first. Any update but a long snapshot is yielded unchanged.
+    A host with a long endpoint list passes the chunks one by one, with other events in between. Passed in
+    this order, they have the same effect as the snapshot; endpoints that are gone or draining come first.
+    `known` holds the ids of the endpoints that were listed before. Updates other than a long snapshot are
+    yielded unchanged.
     """
-    snapshot = update.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED_SNAPSHOT)
-    if not snapshot or len(update.endpoints) <= chunk_size:
+    is_snapshot = update.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED_SNAPSHOT)
+    if not is_snapshot or len(update.endpoints) <= chunk_size:
         yield update
         return
     listed = {endpoint.server_id for endpoint in update.endpoints}
@@ -67,6 +68,5 @@
         for start in range(0, len(endpoints), chunk_size):
             yield EndpointUpdate(UpdateKind.DELTA, tuple(endpoints[start : start + chunk_size]))
     if update.kind is UpdateKind.CACHED_SNAPSHOT:
-        yield EndpointUpdate(
-            UpdateKind.WATCH_FAILED
-        )  # asks for what changed since, as a cached snapshot does
+        # Like a cached snapshot, a failed watch makes the policy ask for the changes since.
+        yield EndpointUpdate(UpdateKind.WATCH_FAILED)
--- a/quota_gateway/policy_api/events.py
+++ b/quota_gateway/policy_api/events.py
@@ -1,16 +1,16 @@
-"""Events: what the host of a policy tells it.
+"""Events: what the host of a policy reports to it.
 
-The host makes one `quota_gateway.policy.gateway.Gateway` at start and calls `handle(now_ms, event)` for each
-event, in the order in which they happened, from one thread. The call returns the actions to carry out, in
-that order (`quota_gateway.policy_api.actions`).
+The host creates one `quota_gateway.policy.gateway.Gateway` at start and calls `handle(now_ms, event)` for
+each event, in the order in which the events happened, from a single thread. The call returns the actions of
+`quota_gateway.policy_api.actions` that the host then carries out in the order returned.
 
-The host owes the policy:
+The host guarantees:
 
-- a clock that never goes backwards and that all gateways share to a tenth of a second (accounting windows
-  start by it);
-- a snapshot or cached snapshot of the endpoint list first, whole or split by `split_update`;
-- exactly one `AttemptCompleted` for each `StartAttempt`, one `CounterReply` for each `IncrementCounter`, and
-  one `TimerFired` for each `SetTimer`, never inside the same call;
+- a clock that never goes backwards and agrees between all gateways to a tenth of a second, since it
+  determines the start of accounting windows;
+- a snapshot or cached snapshot of the endpoint list as the first update, whole or split by `split_update`;
+- exactly one `AttemptCompleted` for each `StartAttempt`, one `CounterReply` for each `IncrementCounter` and
+  one `TimerFired` for each `SetTimer`, each passed after the call of `handle` that returned the action;
 - `ClientDisconnected` when a client leaves.
 
 Times are Unix milliseconds, durations milliseconds, amounts quota units.
@@ -25,7 +25,7 @@
 
 
 class CallOutcome(Enum):
-    """How an attempt at a server, or a call to the shared counter, ended."""
+    """The outcome of an attempt at a server or of a call to the shared counter."""
 
     OK = "ok"
     ERROR = "error"  # an error response; may have run
@@ -37,13 +37,13 @@
     NOT_SENT = "not_sent"  # never written to a connection; did not run
 
 
-# Outcomes after which the request surely never ran, so that a retry can't repeat it.
+# Outcomes of attempts that certainly did not run, so that a retry can't execute the request twice.
 DID_NOT_RUN = (CallOutcome.REJECTED, CallOutcome.UNREACHABLE, CallOutcome.NOT_SENT)
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's request; the policy owes it exactly one final answer within `time_left_ms`."""
+    """A request of a client. The policy gives it exactly one final answer within `time_left_ms`."""
 
     request_id: str
     class_name: str
@@ -51,12 +51,12 @@
     customer: str
     time_left_ms: float
     units: float = 1.0
-    customer_gateways: int = 1  # gateways through which this customer's requests come
+    customer_gateways: int = 1  # number of gateways that receive requests of this customer
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """A streamed response has begun: the attempt belongs to the client from now on."""
+    """The host has begun to stream a response to the client; the request gets no other final answer."""
 
     request_id: str
     attempt: int
@@ -64,10 +64,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptCompleted:
-    """An attempt completed.
+    """An attempt has ended.
 
-    `request_completed` says that the client has its answer; otherwise one is still owed, unless it was given
-    before. `queue_length` and `active_requests` come from the server's load report, if it sent one.
+    `request_completed` is true if the client has its answer. Otherwise the policy must still give a final
+    answer, unless it has already done so. `queue_length` and `active_requests` are the requests that wait and
+    run at the server by its load report; None if it sent none.
     """
 
     request_id: str
@@ -82,21 +83,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client left; no answer is owed."""
+    """The client has disconnected; the request gets no final answer."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer set by `SetTimer` is due."""
+    """A timer that was set by `SetTimer` has expired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class CounterReply:
-    """The reply to one `IncrementCounter`; replies for one key come in the order of the calls."""
+    """The reply to one `IncrementCounter`; `total` is the sum under the key in quota units.
+
+    Replies for the same key come in the order of the calls.
+    """
 
     key: int
     total: float
--- a/quota_gateway/policy_state/__init__.py
+++ b/quota_gateway/policy_state/__init__.py
@@ -1,4 +1,4 @@
-"""Records of the policy's state, which compare by identity.
+"""Records of the policy's state. Records are compared by identity.
 
-They hold no decision: the modules of `quota_gateway.policy` alone read and change them.
+This package holds no decisions; only the modules of `quota_gateway.policy` read and change the records.
 """
--- a/quota_gateway/policy_state/requests.py
+++ b/quota_gateway/policy_state/requests.py
@@ -1,4 +1,4 @@
-"""What a gateway holds of the requests that await their final answer, and of their attempts."""
+"""Records of the requests that wait for their final answer, and of their attempts."""
 
 from __future__ import annotations
 
@@ -11,38 +11,38 @@
 
 
 class ReplyState(Enum):
-    """What a decision on a request knows from the counter."""
+    """State of the counter reply for the admission of a request."""
 
-    NOT_NEEDED = "not_needed"  # the estimate of the customer's bucket is good enough
+    NOT_NEEDED = "not_needed"  # the estimate of the customer's bucket suffices
     AWAITED = "awaited"  # a call for this request is in flight
-    RECEIVED = "received"  # the reply to a call for this request
+    RECEIVED = "received"  # the call for this request was answered
     MISSING = "missing"  # a reply was needed, but the call failed or was not made
-    UNAVAILABLE = "unavailable"  # the counter does not reply to anyone
+    UNAVAILABLE = "unavailable"  # the counter answers no calls at all
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that awaits its final answer. Times are Unix milliseconds."""
+    """A request that waits for its final answer. Times are Unix milliseconds."""
 
     request_id: str
-    units: float  # its size, quota units
+    units: float  # size in quota units
     request_class: RequestClass
-    customer: Customer | None  # None: its plan is unknown, there is no quota
+    customer: Customer | None  # None if the plan is unknown; no quota applies then
     received_at_ms: float
     deadline_ms: float
-    attempts: int = 0  # started so far
-    in_flight: int = 0  # of these, those not completed
-    reply: ReplyState = ReplyState.NOT_NEEDED  # of the shared counter
-    tried_servers: list[str] = field(default_factory=list)  # ids
+    attempts: int = 0  # number of attempts started so far
+    in_flight: int = 0  # number of attempts not completed yet
+    reply: ReplyState = ReplyState.NOT_NEEDED  # state of the shared counter's reply
+    tried_servers: list[str] = field(default_factory=list)  # server ids in the order of the attempts
     may_have_run_at_ms: float | None = None  # start of the first attempt that may have run
-    may_have_run_on: Endpoint | None = None  # the server of that attempt
+    may_have_run_on: Endpoint | None = None  # the endpoint of that attempt
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """An attempt in flight; it may outlive its request."""
+    """An attempt in flight. It may last longer than the pending request, for example after a disconnect."""
 
     pending: PendingRequest
     endpoint: Endpoint
     started_at_ms: float
-    work_ms: float  # mean duration of such a request when it was started
+    work_ms: float  # mean duration of attempts for such a request, as known at the start
--- a/quota_gateway/policy_state/servers.py
+++ b/quota_gateway/policy_state/servers.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of servers."""
+"""Records of the servers on the endpoint list."""
 
 from __future__ import annotations
 
@@ -7,42 +7,48 @@
 
 from quota_gateway.policy_api.endpoints import Endpoint
 
-NEVER_MS = -1e9  # a time before any event
+NEVER_MS = -1e9  # Unix time before any event
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """One process of a server on the endpoint list; a restart gets a new record.
+    """Statistics of one process of a listed server; a restarted server gets a new record.
 
-    Times are Unix milliseconds. `quota_gateway.policy.load_balancing` says how the fields are learned.
+    Times are Unix milliseconds. The modules `load_balancing`, `outliers` and `slow_start` of
+    `quota_gateway.policy` update the statistics.
     """
 
     endpoint: Endpoint
-    in_flight: int = 0  # attempts of this gateway
-    in_subset: bool = False  # whether it belongs to the subset that this gateway uses
-
-    relative_latency: float = 1.0  # its response times against the fleet's mean for the same kind of request
-    unanswered_since_ms: float | None = None  # first attempt since its last response; None: none in flight
-    reported_queue: float = 0.0  # queue length in its last load report
-    reported_at_ms: float = NEVER_MS
-
-    failure_score: float = 0.0  # recent share of failed attempts, 0 to 1, as of `failure_scored_at_ms`
+    in_flight: int = 0  # number of attempts of this gateway
+    in_subset: bool = False  # whether the server belongs to the subset that this gateway uses
+
+    # Moving mean of its response times, each divided by the fleet's mean for the same kind of request.
+    relative_latency: float = 1.0
+    # Time since which a response is outstanding: the start of the first attempt after the last response, or
+    # the last response if other attempts were in flight then. None if no response is outstanding.
+    unanswered_since_ms: float | None = None
+    reported_queue: float = 0.0  # queue length in the last load report
+    reported_at_ms: float = NEVER_MS  # time of the last load report
+
+    # Weighted share of recent attempts that failed, from 0 to 1, as of `failure_scored_at_ms`.
+    failure_score: float = 0.0
     failure_scored_at_ms: float = 0.0
 
-    slot_credit: float = 0.0  # quota units; while it is warming up, a slow-start slot is open from 0 on
+    # Credit in quota units while the server is warming up; a slow-start slot is open while it is at least 0.
+    slot_credit: float = 0.0
     slot_credit_at_ms: float = 0.0  # when `slot_credit` was computed
 
 
 class WarmingServer(NamedTuple):
-    """A process outside the subset that is warming up; the one that is warm first sorts first."""
+    """A process outside the subset that is warming up. The one that becomes warm first sorts first."""
 
     warm_at_ms: float
     server_id: str
-    started_ms: float  # tells apart the processes of one server
+    started_ms: float  # identifies the process among those of the same server
 
 
 class Candidate(NamedTuple):
-    """The server that costs least of some, and that cost; no server at infinite cost, if none may be used."""
+    """The server with the lowest cost and that cost; None at infinite cost if no server can be used."""
 
     server: Server | None
     cost: float  # mean service times
