--- a/quota_gateway/network/attempt.py
+++ b/quota_gateway/network/attempt.py
@@ -20,23 +20,24 @@
 from quota_gateway.network.server_pool import ServerPool
 from quota_gateway.policy_api.events import CallOutcome
 
-MIN_TIME_LEFT_MS = 1  # a command can't tell a server less than this
+MIN_TIME_LEFT_MS = 1  # commands carry the time left in whole milliseconds, at least one
 
 
 class AttemptState(Enum):
     """The state of an attempt."""
 
-    CONNECTING = auto()  # nothing was written: the request can't have run
-    SENT = auto()  # the request was written and its response is awaited
-    CLOSING = auto()  # given up; the result is known and the connection is being closed
-    COMPLETED = auto()  # the result was reported
+    CONNECTING = auto()  # the request is not written yet, so it can't have run
+    SENT = auto()  # the request is written and its response is awaited
+    CLOSING = auto()  # given up after the write: the result is known, the connection is being closed
+    COMPLETED = auto()  # the result is reported
 
 
 class Attempt:
-    """One request on its way to one server.
+    """One attempt to have a request served by one server.
 
-    `encode` makes the command, given the milliseconds left. `on_complete` is called exactly once with the
-    result; possibly inside `start` or `cancel`, if nothing was written.
+    `encode` returns the command for the server, given the milliseconds left until the deadline. `on_complete`
+    is called exactly once with the result. The call may come from inside `start` or `cancel` as long as the
+    request is not written.
     """
 
     __slots__ = (
@@ -66,7 +67,7 @@
         self.started_at = pool.owner.loop.time()
         self.deadline = self.started_at + timeout_s
         self.state = AttemptState.CONNECTING
-        self.result: AttemptResult | None = None  # set in CLOSING: reported once the connection is closed
+        self.result: AttemptResult | None = None  # set in CLOSING, reported in COMPLETED
         self.connection: ServerConnection | None = None
         self.connect_task: asyncio.Task[None] | None = None
         self.connect_timer: asyncio.TimerHandle | None = None
@@ -74,16 +75,19 @@
 
     @property
     def awaiting_response(self) -> bool:
-        """Whether a response is still of use."""
+        """Whether the request is written and its response would still be used."""
         return self.state is AttemptState.SENT
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the request was written, so that the server may have run it or may still do so."""
+        """Whether the request is written and not completed: the server may have run it or may yet do so."""
         return self.state is AttemptState.SENT or self.state is AttemptState.CLOSING
 
     def start(self) -> None:
-        """Write the request on an idle connection, or open one."""
+        """Write the request on an idle connection, or open a connection for it.
+
+        At the connection limit, with no idle connection to close, the attempt completes as UNREACHABLE.
+        """
         pools = self.pool.owner
         self.timeout_timer = pools.loop.call_at(self.deadline, self._time_out)
         connection = self.pool.acquire()
@@ -98,27 +102,32 @@
             self.connect_timer = pools.loop.call_later(connect_timeout_s, self._fail_to_connect)
 
     def cancel(self) -> None:
-        """Give up. A cancel says nothing about the server: without a connection the outcome is NOT_SENT."""
+        """Give up the attempt.
+
+        Before the write the outcome is NOT_SENT rather than UNREACHABLE: a cancel says nothing about the
+        server's health.
+        """
         if self.state is AttemptState.CONNECTING:
             self._cancel_connect()
             self.complete(AttemptResult(CallOutcome.NOT_SENT))
         elif self.state is AttemptState.SENT:
             self._abort(CallOutcome.CANCELLED)
 
-    def close_with(self, result: AttemptResult) -> None:
-        """Record the result with which the attempt completes once the connection is closed."""
+    def begin_closing(self, result: AttemptResult) -> None:
+        """Enter CLOSING, with the result to report once the connection is closed."""
         self.state = AttemptState.CLOSING
         self.result = result
 
     def complete(self, result: AttemptResult) -> None:
-        """Report the result; only the first call has an effect."""
+        """Enter COMPLETED and report the result; only the first call has an effect."""
         if self.state is AttemptState.COMPLETED:
             return
         self.state = AttemptState.COMPLETED
         for timer in (self.timeout_timer, self.connect_timer):
             if timer is not None:
                 timer.cancel()
-        self.timeout_timer = self.connect_timer = None
+        self.timeout_timer = None
+        self.connect_timer = None
         self.connection = None
         self.on_complete(result)
 
@@ -136,15 +145,15 @@
             pools.connecting -= 1
         self.connect_task = None
         if self.state is AttemptState.COMPLETED:
-            connection.abort()  # established too late: the request must not be written any more
+            connection.abort()  # the attempt completed in the meantime: its request must not be written
         elif not self.pool.writable():
-            connection.abort()  # the drain's grace ended while the connection was being established
+            connection.abort()  # the drain grace period ended while connecting
             self.complete(AttemptResult(CallOutcome.UNREACHABLE))
         else:
             self._write(connection)
 
     def _write(self, connection: ServerConnection) -> None:
-        """Write the request; from here on it may have run."""
+        """Write the request, after which the server may run it, unless the time or the connection is over."""
         if self.connect_timer is not None:
             self.connect_timer.cancel()
         time_left_ms = int(1000.0 * (self.deadline - self.pool.owner.loop.time()))
@@ -159,29 +168,30 @@
         transport.write(self.encode(time_left_ms))
 
     def _fail_to_connect(self) -> None:
-        """Complete without a connection: it was refused or not established in time."""
+        """Complete as UNREACHABLE: the connection was refused or not established in time."""
         self._cancel_connect()
         self.complete(AttemptResult(CallOutcome.UNREACHABLE))
 
     def _cancel_connect(self) -> None:
-        """Give up a connection that is being established."""
+        """Stop establishing the connection."""
         task, self.connect_task = self.connect_task, None
         if task is not None and task is not asyncio.current_task(self.pool.owner.loop):
             task.cancel()
 
     def _time_out(self) -> None:
-        """Give up at the deadline."""
+        """Give up the attempt at its deadline."""
         if self.state is AttemptState.CONNECTING:
             self._fail_to_connect()
         elif self.state is AttemptState.SENT:
-            # A host that vanished is silent, and resets old connections once it is back. The pool's other
-            # connections, unused for as long as this attempt, would turn requests that never ran into resets,
-            # after which a non-idempotent request can't be retried.
+            # The server's host may have vanished: it is silent, and once it is back it resets connections
+            # opened before. Idle connections last used before this attempt are therefore closed. A request
+            # written on one would end as RESET although it never ran, and a non-idempotent request can't be
+            # retried after a reset.
             self.pool.close_idle(self.started_at)
             self._abort(CallOutcome.TIMEOUT)
 
     def _abort(self, outcome: CallOutcome) -> None:
-        """Close the connection of a request that was written."""
+        """Close the connection that carries the request; complete with `outcome` once it is closed."""
         assert self.connection is not None
-        self.close_with(AttemptResult(outcome))
+        self.begin_closing(AttemptResult(outcome))
         self.connection.abort()
--- a/quota_gateway/network/server_connection.py
+++ b/quota_gateway/network/server_connection.py
@@ -9,8 +9,8 @@
 from quota_gateway.network.attempt_result import AttemptResult, classify_response
 from quota_gateway.policy_api.events import CallOutcome
 
-# A response whose length is corrupted never completes, on a connection that stays open. One that has begun
-# and stands still for this long is given up.
+# A response with a corrupted length never completes, although the connection stays open. The attempt fails
+# once a partial response has made no progress for this long.
 RESPONSE_STALL_S = 0.25
 
 
@@ -21,30 +21,33 @@
 
     @property
     def awaiting_response(self) -> bool:
-        """Whether a response to the request is still of use."""
+        """Whether the request is written and its response would still be used."""
 
-    def close_with(self, result: AttemptResult) -> None:
-        """Record the result with which the attempt completes once the connection is closed."""
+    def begin_closing(self, result: AttemptResult) -> None:
+        """Record the result to report once the connection is closed."""
 
     def complete(self, result: AttemptResult) -> None:
-        """Complete the attempt."""
+        """Complete the attempt and report its result."""
 
 
 class ConnectionOwner(Protocol):
     """A pool, as seen by its connections."""
 
     def add(self, connection: ServerConnection) -> None:
-        """Count a connection that has been established."""
+        """Add a connection that has been established."""
 
     def release(self, connection: ServerConnection) -> None:
-        """Take back a connection whose request has been answered."""
+        """Return a connection to the pool after a complete response."""
 
     def discard(self, connection: ServerConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a connection that is closed."""
 
 
 class ServerConnection(asyncio.Protocol):
-    """A connection to a server; `attempt` is the one whose request it carries, or None."""
+    """A connection to a server. The event loop calls the methods of `asyncio.Protocol`.
+
+    `attempt` is the attempt whose request the connection carries, or None while it is idle.
+    """
 
     __slots__ = ("attempt", "idle_since", "loop", "parser", "pool", "stall_timer", "transport")
 
@@ -54,19 +57,19 @@
         self.parser = resp.Parser()
         self.attempt: ResponseReceiver | None = None
         self.transport: asyncio.Transport | None = None
-        self.idle_since = 0.0  # the loop's time of the last response
-        self.stall_timer: asyncio.TimerHandle | None = None  # runs while a response is incomplete
+        self.idle_since = 0.0  # event loop time of the last response
+        self.stall_timer: asyncio.TimerHandle | None = None  # set while a response is incomplete
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Join the pool; called by the loop."""
+        """Add the connection to the pool."""
         self.transport = transport  # type: ignore[assignment]  # a TCP transport reads and writes
         self.pool.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what the server sent and complete the attempt; called by the loop."""
+        """Parse the bytes received, and complete the attempt once the response is whole."""
         attempt = self.attempt
         if attempt is None or not attempt.awaiting_response:
-            self.abort()  # unsolicited bytes: responses no longer match requests on this connection
+            self.abort()  # unsolicited bytes: later responses could not be matched to requests
             return
         self._cancel_stall_timer()
         try:
@@ -81,7 +84,7 @@
         self._complete_attempt(attempt, classify_response(response))
 
     def _complete_attempt(self, attempt: ResponseReceiver, result: AttemptResult) -> None:
-        """Complete the attempt with its response, and reuse or close the connection."""
+        """Complete the attempt with its response, and return the connection to the pool or close it."""
         reusable = result.connection_reusable and not self.parser.buffered_bytes()
         if not reusable and result.outcome is not CallOutcome.OK:
             self._fail_malformed()
@@ -90,31 +93,32 @@
         if reusable:
             self.pool.release(self)
         else:
-            self.abort()  # the value is served, but bytes behind it can't be matched to any request
+            self.abort()  # the value is valid, but the surplus bytes after it match no request
         attempt.complete(result)
 
     def _fail_malformed(self) -> None:
-        """Close the connection after a malformed response; the request may have run."""
+        """Close the connection after a malformed or stalled response; the request may have run."""
         if self.attempt is not None and self.attempt.awaiting_response:
-            self.attempt.close_with(AttemptResult(CallOutcome.ERROR))
+            self.attempt.begin_closing(AttemptResult(CallOutcome.ERROR))
         self.abort()
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # the signature of asyncio.Protocol
-        """Leave the pool and complete the attempt, if any; called by the loop.
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # asyncio.Protocol sets the signature
+        """Remove the connection from the pool and complete its attempt, if any.
 
         uvloop closes the socket only after this call. Completing the attempt may start a retry, which must
-        not reach a server while this request can still be received: it waits for the next loop iteration.
+        not reach a server while this server can still receive the request. The attempt is therefore completed
+        in the next loop iteration.
         """
         self._cancel_stall_timer()
         self.pool.discard(self)
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
-            # The kernel had the request: it may have run, so without a recorded result this is a reset.
+            # The request was written, so the server may have run it: without a recorded result it was reset.
             result = attempt.result or AttemptResult(CallOutcome.RESET)
             self.loop.call_soon(attempt.complete, result)
 
     def abort(self) -> None:
-        """Close the connection at once. An attempt on it completes in `connection_lost`."""
+        """Close the connection at once; `connection_lost` then completes its attempt."""
         if self.transport is not None:
             self.transport.abort()
 
--- a/tests/network/test_attempt.py
+++ b/tests/network/test_attempt.py
@@ -1,4 +1,4 @@
-"""Attempts over loopback sockets: outcomes, retries, cancels, timeouts."""
+"""Attempts over loopback sockets: outcomes, retries, cancellation, timeouts."""
 
 from __future__ import annotations
 
@@ -25,14 +25,15 @@
         script = forwarding_policy()
         async with running_gateway(always_reply(OK_RESPONSE), policy=script) as gateway:
             client = await gateway.connect_client()
-            decide, pool = script.decide, gateway.server_pools.pools["s0"]
+            decide = script.decide
+            pool = gateway.server_pools.pools["s0"]
 
             def end_grace() -> None:
                 pool.write_deadline = gateway.process.loop.time() - 1.0
 
             def drain_and_decide(event: Event) -> list[Action]:
                 if isinstance(event, Request):
-                    pool.drain()  # within its grace as the attempt starts, past it when the connection is up
+                    pool.drain()  # starts the grace period; `end_grace` ends it before connecting is done
                     gateway.process.loop.call_soon(end_grace)
                 return decide(event)
 
@@ -46,7 +47,7 @@
 
 
 def test_a_timeout_closes_connections_idle_since_before_the_attempt() -> None:
-    """The host may have vanished; its old connections would be reset under the next requests."""
+    """A host that vanished resets its old connections once it is back, and the requests on them."""
 
     async def scenario() -> None:
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
@@ -64,9 +65,9 @@
             assert [await client.read_reply(), await client.read_reply()] == [b"value", b"value"]
             pool = gateway.server_pools.pools["s0"]
             for connection in pool.idle:
-                connection.idle_since -= 1.0  # unused since before the attempt
+                connection.idle_since -= 1.0  # last used before the attempt
             assert len(pool.idle) == 2
-            gateway.server_pools.expiry_timer.cancel()  # it would close them too, later
+            gateway.server_pools.expiry_timer.cancel()  # keeps the periodic expiry from closing them
             assert str(await client.execute(b"CALL.GET", CUSTOMER, b"silent", READ_FIELDS)) == "ERR failed"
             assert script.events_of(AttemptCompleted)[-1].outcome is CallOutcome.TIMEOUT
             await wait_until(lambda: not pool.connections)
@@ -90,7 +91,8 @@
     (always_reply(b"*3\r\n$3\r\nvalXY$-1\r\n$-1\r\n"), CallOutcome.ERROR),
     (always_reply(b"*3\r\n+value\r\n$-1\r\n$-1\r\n"), CallOutcome.ERROR),
     (always_reply(b"*3\r\n$3000000000\r\n" + b"x" * 500), CallOutcome.ERROR),
-    (always_reply(b"*3\r\n$50\r\nvalue\r\n$-1\r\n$-1\r\n"), CallOutcome.ERROR),  # and then silence
+    # Announces 50 bytes and sends fewer, on a connection that stays open.
+    (always_reply(b"*3\r\n$50\r\nvalue\r\n$-1\r\n$-1\r\n"), CallOutcome.ERROR),
     (always_reply(b"*3\r\n*999999999\r\n"), CallOutcome.ERROR),
     (always_reply(b"-BUSY or not\r\n"), CallOutcome.ERROR),
     (always_reply(b"-BUSY\r\nnoise"), CallOutcome.ERROR),
@@ -109,7 +111,7 @@
 @pytest.mark.parametrize(("reply", "outcome"), RESPONSES)
 def test_each_response_completes_the_attempt_once(reply: Reply, outcome: CallOutcome) -> None:
     async def scenario() -> None:
-        # Only the silent server gets a timeout, so that a slow machine causes no other.
+        # Only the case of the silent server sets a timeout, so that a slow machine can't time out any other.
         script = ScriptedPolicy(forward_to("s0", 200.0 if outcome is CallOutcome.TIMEOUT else 0.0))
         async with running_gateway(reply, policy=script) as gateway:
             client = await gateway.connect_client()
@@ -141,14 +143,14 @@
     """Two attempts of one request must never be in flight together."""
 
     async def scenario() -> None:
-        seen: list[str] = []
+        completions: list[str] = []
 
         def decide(event: Event) -> list[Action]:
             if isinstance(event, Request):
                 return [StartAttempt(event.request_id, "s0", 100.0)]
             if isinstance(event, AttemptCompleted) and not event.request_completed:
-                first = gateway.server_pools.pools["s0"].connections
-                seen.append(f"{event.outcome.value} with {len(first)} open")
+                open_connections = gateway.server_pools.pools["s0"].connections
+                completions.append(f"{event.outcome.value} with {len(open_connections)} open")
                 return [StartAttempt(event.request_id, "s1", 0.0)]
             return []
 
@@ -157,7 +159,7 @@
         ) as gateway:
             client = await gateway.connect_client()
             assert await client.execute(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS) == b"value"
-            assert seen == ["timeout with 0 open"]
+            assert completions == ["timeout with 0 open"]
             await wait_until(lambda: ("closed", 1, []) in gateway.servers[0].log)
 
     run_scenario(scenario())
--- a/tests/network/test_server_connection.py
+++ b/tests/network/test_server_connection.py
@@ -1,4 +1,4 @@
-"""Connections to servers over loopback sockets: bytes that match no request."""
+"""Connections to servers over loopback sockets: surplus bytes that belong to no request."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def test_a_late_duplicate_response_is_not_served_to_another_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The duplicate arrives in a segment of its own, after the connection has returned to the pool."""
+    """The duplicate arrives in a TCP segment of its own, after the connection has returned to the pool."""
 
     async def scenario() -> None:
         async def reply_twice(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
@@ -31,12 +31,14 @@
                 assert value == b"%04d" % number
             assert len(gateway.servers[0].writers) == 8
 
-    monkeypatch.setattr(server_pool, "SETTLE_S", 30.0)  # however slow the machine
+    monkeypatch.setattr(
+        server_pool, "SETTLE_S", 30.0
+    )  # no connection is reused during the test, however slow the machine
     run_scenario(scenario())
 
 
 def test_unsolicited_bytes_close_the_connection() -> None:
-    """Otherwise the next request on it would receive another request's value."""
+    """If it stayed open, the next request on the connection would receive another request's value."""
 
     async def scenario() -> None:
         async with running_gateway(
