--- a/quota_gateway/network/attempt_result.py
+++ b/quota_gateway/network/attempt_result.py
@@ -1,4 +1,4 @@
-"""The result of an attempt, and how a server's response is classified."""
+"""Results of attempts, and the classification of server responses."""
 
 from __future__ import annotations
 
@@ -11,19 +11,26 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt completed."""
+    """How an attempt completed.
+
+    `load_report` is the encoded load report of the response, or None without one.
+    """
 
     outcome: CallOutcome
-    value: bytes | None = None  # the response's value, with `CallOutcome.OK` only
+    value: bytes | None = None  # value of the response; None unless the outcome is `CallOutcome.OK`
     load_report: bytes | None = None
-    connection_reusable: bool = False  # the response was well-formed: another request may follow it
+    connection_reusable: bool = False  # well-formed response: the connection may carry another request
 
 
 def classify_response(response: resp.Message) -> AttemptResult:
-    """Classify a complete RESP message from a server by the protocol's table of responses.
+    """Classify a complete RESP message from a server.
+
+        array of value, usage figures, load report or null   OK
+        BUSY [load report]                                   REJECTED
+        ERR failed [load report], or anything else           ERROR
 
-    Only the exact forms count. A response that was corrupted on its way belongs to a request that has run, so
-    it must neither be served nor be taken for a rejection, which promises that the request did not run.
+    Only the exact forms count. A response that was corrupted on its way belongs to a request that may have
+    run. It must neither be served nor be taken for a rejection, which promises that the request did not run.
     """
     if isinstance(response, list) and len(response) == 3:
         value, _, report = response
@@ -35,7 +42,7 @@
 
 
 def _classify_error(error: str) -> AttemptResult:
-    """Classify an error response, whose last word may be a load report."""
+    """Classify an error response; the last word of its text may be a load report."""
     text, _, last_word = error.rpartition(" ")
     report = last_word.encode() if is_load_report(last_word) else None
     if report is None:
--- a/quota_gateway/network/load_report.py
+++ b/quota_gateway/network/load_report.py
@@ -1,7 +1,7 @@
-"""Load reports: the figures on its own queue and work that a server attaches to a response.
+"""Load reports: queue length and active requests, as a server reports them with a response.
 
-A report is text such as `inflight=7,queue=2.5`. It comes as the third element of a response, or as the last
-word of an error.
+A report is text such as `inflight=7,queue=2.5`. It is the third element of a response or the last word of an
+error.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 MAX_REPORT_BYTES = 256
-MAX_PLAUSIBLE_REQUESTS = 100_000.0  # at one server; a report of more is taken for corrupt
+MAX_PLAUSIBLE_REQUESTS = 100_000.0  # more requests than this at one server: the figure is corrupt
 
 _QUEUE_FIELDS = (b"queue", b"waiting")
 _ACTIVE_FIELDS = (b"inflight", b"active")
@@ -20,7 +20,7 @@
 
 
 class LoadReport(NamedTuple):
-    """Requests at a server. None stands for a figure that is absent or unreadable."""
+    """Numbers of requests at a server; None where the figure is absent, unreadable or implausible."""
 
     queue_length: float | None = None
     active_requests: float | None = None
@@ -35,10 +35,10 @@
 
 
 def parse_load_report(text: bytes | None) -> LoadReport:
-    """Read a load report.
+    """Parse a load report; never raises.
 
-    Figures that are unreadable or implausible count as absent: a single `nan` would stay in the policy's
-    moving averages for good.
+    Unreadable and implausible figures count as absent: a single `nan` would stay in the policy's moving
+    averages forever.
     """
     if not text or len(text) > MAX_REPORT_BYTES:
         return NO_REPORT
--- a/tests/network/test_attempt_result.py
+++ b/tests/network/test_attempt_result.py
@@ -1,4 +1,4 @@
-"""How a server's response is classified."""
+"""Classification of server responses."""
 
 from __future__ import annotations
 
--- a/tests/network/test_load_report.py
+++ b/tests/network/test_load_report.py
@@ -1,4 +1,4 @@
-"""Load reports of servers."""
+"""Parsing of the load reports that servers attach to responses."""
 
 from __future__ import annotations
 
