--- a/quota_gateway/network/bridge.py
+++ b/quota_gateway/network/bridge.py
@@ -1,8 +1,10 @@
-"""The bridge between sockets and policy: events go in, the actions returned are carried out in order.
+"""The bridge between sockets and policy: posts events to the policy and carries out its actions in order.
 
-The policy must not be called from within a call. Whatever completes while actions are being carried out is
-therefore queued as an event and handed over afterwards, one event at a time. Whatever the policy does, and
-whether or not it fails, each request gets exactly one final answer within its deadline.
+Calls to the policy must not be nested. Events that occur while actions are being carried out are therefore
+queued and handled afterwards, one at a time. Each request gets exactly one final answer within its deadline,
+even if the policy gives none or raises an exception.
+
+A request id in this module is the `policy_request_id` of an `InFlightRequest`.
 """
 
 from __future__ import annotations
@@ -56,19 +58,19 @@
 
 log = logging.getLogger("quota_gateway")
 
-TIMER_RETRY_MS = 250.0  # a timer whose event made the policy fail fires again after this
-TIMER_SLACK_S = 0.001  # the loop's clock is coarse, and a timer must not fire early
+TIMER_RETRY_MS = 250.0  # delay until a timer fires again after the policy failed on its event
+TIMER_SLACK_S = 0.001  # added to delays: the event loop's clock is coarse, and no timer may fire early
 
 
 class Policy(Protocol):
-    """The policy, as far as the bridge needs it."""
+    """The part of the policy's interface that the bridge uses."""
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Handle one event and return the actions to carry out, in order."""
+        """Handle one event at Unix time `now_ms`; return the actions to carry out, in order."""
 
 
 class PolicyBridge:
-    """Hosts the policy: turns what happens on sockets into events, and actions into what happens there."""
+    """Hosts the policy: reports network events to it and carries out its actions on the sockets."""
 
     def __init__(
         self,
@@ -81,11 +83,11 @@
         self.clock = Clock()
         self.policy = policy
         self.server_pools = server_pools
-        self.counter = counter  # None: every increment is unreachable
-        self.in_flight: dict[str, InFlightRequest] = {}  # by ref
-        self.attempts: dict[tuple[str, int], Attempt] = {}  # in flight, by ref and number
-        self.started_ms: dict[str, float] = {}  # Unix time of each server's last start, by server id
-        self.shutting_down = False  # requests are rejected on arrival
+        self.counter = counter  # without one, every increment completes as UNREACHABLE
+        self.in_flight: dict[str, InFlightRequest] = {}  # keyed by policy request id
+        self.attempts: dict[tuple[str, int], Attempt] = {}  # in flight, keyed by request id and number
+        self.started_ms: dict[str, float] = {}  # last start (Unix time) by server id
+        self.shutting_down = False  # new requests are rejected on arrival
         self._request_count = 0
         self._events: deque[Event] = deque()
         self._dispatching = False
@@ -93,7 +95,7 @@
     # --- events to the policy ----------------------------------------------------------------------------
 
     def post_event(self, event: Event) -> None:
-        """Hand an event to the policy, after the actions of the event being handled, if there is one."""
+        """Hand an event to the policy, or queue it while another event is being handled."""
         self._events.append(event)
         if self._dispatching:
             return
@@ -105,7 +107,10 @@
             self._dispatching = False
 
     def _dispatch(self, event: Event) -> None:
-        """Handle one event and carry out its actions. A failure in either costs no request its answer."""
+        """Have the policy handle one event, and carry out the actions that it returns.
+
+        An exception in either is logged, and the request concerned still gets an answer.
+        """
         try:
             actions = self.policy.handle(self.clock.now_ms(), event)
         except Exception:
@@ -121,7 +126,7 @@
                     self.close_request(action.request_id)
 
     def _recover_from_failed_event(self, event: Event) -> None:
-        """Answer the request of an event that the policy failed on, or keep its timer going."""
+        """Answer the request of an event that the policy failed on, or set the event's timer again."""
         if isinstance(event, Request | AttemptCompleted):
             self.close_request(event.request_id)
         elif isinstance(event, TimerFired):
@@ -130,23 +135,23 @@
     # --- requests ----------------------------------------------------------------------------------------
 
     def accept_request(self, command: RequestCommand, send_reply: Callable[[bytes], None]) -> InFlightRequest:
-        """Take charge of a client's request.
+        """Register a client's request and pass it to the policy.
 
-        `send_reply` is called at most once, with the encoded final answer, possibly before this returns. It
-        is not called after `cancel_request`.
+        `send_reply` is called at most once, with the encoded final answer, possibly before this method
+        returns. It is not called after `cancel_request`.
         """
         self._request_count += 1
-        ref = str(self._request_count)
+        request_id = str(self._request_count)
         deadline = self.loop.time() + command.time_left_ms / 1000.0
-        request = InFlightRequest(ref, command, deadline, send_reply)
-        self.in_flight[ref] = request
-        request.deadline_timer = self.loop.call_at(deadline, self.close_request, ref)
+        request = InFlightRequest(request_id, command, deadline, send_reply)
+        self.in_flight[request_id] = request
+        request.deadline_timer = self.loop.call_at(deadline, self.close_request, request_id)
         if self.shutting_down:
-            self._reject(ref, 0.0)  # another gateway can serve it at once
+            self._reject(request_id, 0.0)  # without Retry-After: another gateway can serve it at once
             return request
         self.post_event(
             Request(
-                ref,
+                request_id,
                 command.class_name,
                 command.plan,
                 command.customer,
@@ -158,43 +163,46 @@
         return request
 
     def cancel_request(self, request: InFlightRequest) -> None:
-        """Give up a request whose client has disconnected: what was not written yet is not sent any more."""
+        """Drop a request whose client has disconnected; an attempt that is not written yet is cancelled."""
         if self._remove_request(request):
-            self.post_event(ClientDisconnected(request.ref))
+            self.post_event(ClientDisconnected(request.policy_request_id))
             if request.attempt is not None and not request.attempt.may_have_run:
                 request.attempt.cancel()
 
-    def close_request(self, ref: str) -> None:
-        """Answer a request in the policy's place, at its deadline or after a failure, and cancel it there."""
-        request = self.in_flight.get(ref)
+    def close_request(self, request_id: str) -> None:
+        """Answer a request without the policy, at its deadline or after a failure.
+
+        Its attempt is cancelled, and the policy gets a `ClientDisconnected`.
+        """
+        request = self.in_flight.get(request_id)
         if request is not None:
-            self._reject(ref, 0.0)
+            self._reject(request_id, 0.0)
             if request.attempt is not None:
                 request.attempt.cancel()
-            self.post_event(ClientDisconnected(ref))
+            self.post_event(ClientDisconnected(request_id))
 
     def shut_down(self) -> None:
         """Answer all requests in flight and reject those that still arrive."""
         self.shutting_down = True
-        for ref in list(self.in_flight):
-            self.close_request(ref)
+        for request_id in list(self.in_flight):
+            self.close_request(request_id)
 
-    def _reject(self, ref: str, retry_after_ms: float) -> None:
-        """Reject a request, or fail it if it may have run: a rejection promises that it has not."""
-        request = self.in_flight.get(ref)
+    def _reject(self, request_id: str, retry_after_ms: float) -> None:
+        """Reject a request, or fail it if it may have run: a rejection promises that it has not run."""
+        request = self.in_flight.get(request_id)
         if request is not None:
             reply = resp.FAILED if request.may_have_run() else resp.encode_busy(retry_after_ms)
-            self._answer(ref, reply)
+            self._answer(request_id, reply)
 
-    def _answer(self, ref: str, reply: bytes) -> None:
-        """Send the final answer. Without effect on a request that was answered or cancelled before."""
-        request = self.in_flight.get(ref)
+    def _answer(self, request_id: str, reply: bytes) -> None:
+        """Send the final answer; does nothing if the request was already answered or cancelled."""
+        request = self.in_flight.get(request_id)
         if request is not None and self._remove_request(request):
             request.send_reply(reply)
 
     def _remove_request(self, request: InFlightRequest) -> bool:
-        """Remove a request from those in flight; False if it was not among them."""
-        if self.in_flight.pop(request.ref, None) is None:
+        """Remove a request from those in flight; return False if it was not among them."""
+        if self.in_flight.pop(request.policy_request_id, None) is None:
             return False
         if request.deadline_timer is not None:
             request.deadline_timer.cancel()
@@ -203,17 +211,17 @@
 
     # --- endpoints ---------------------------------------------------------------------------------------
 
-    def endpoint_update_steps(self, versioned: VersionedUpdate) -> Iterator[None]:
-        """Apply an endpoint update step by step; other work may be done between the steps.
+    def endpoint_update_steps(self, versioned_update: VersionedUpdate) -> Iterator[None]:
+        """Apply an endpoint update in steps, between which the caller may do other work.
 
-        A long snapshot is split, endpoints that are gone or draining first.
+        A long snapshot is split into deltas; endpoints that are gone or draining come first.
         """
-        for part in split_update(versioned.update, list(self.server_pools.pools)):
-            self._apply_endpoint_update(part, versioned.addresses)
+        for update in split_update(versioned_update.update, list(self.server_pools.pools)):
+            self._apply_endpoint_update(update, versioned_update.addresses)
             yield
 
     def _apply_endpoint_update(self, update: EndpointUpdate, addresses: dict[str, Address]) -> None:
-        """Update the pools, then the policy, so that nothing is written to a server that must get nothing."""
+        """Update the pools before the policy, so that no request goes to a gone or draining server."""
         for endpoint in update.endpoints:
             self._apply_endpoint(endpoint, addresses)
         if update.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED_SNAPSHOT):
@@ -230,18 +238,21 @@
             self.server_pools.drain(server_id)
         else:
             self.server_pools.remove(server_id)
-            self.started_ms.pop(server_id, None)  # ids are never used again
+            self.started_ms.pop(server_id, None)  # server ids are never reused
 
     def _remove_unlisted(self, listed: set[str]) -> None:
-        """Forget the servers that a snapshot does not list."""
-        for server_id in [known for known in self.server_pools.pools if known not in listed]:
+        """Remove the servers that a snapshot does not list."""
+        unlisted = [server_id for server_id in self.server_pools.pools if server_id not in listed]
+        for server_id in unlisted:
             self.server_pools.remove(server_id)
-        self.started_ms = {known: at for known, at in self.started_ms.items() if known in listed}
+        self.started_ms = {
+            server_id: started_ms for server_id, started_ms in self.started_ms.items() if server_id in listed
+        }
 
     # --- actions of the policy ---------------------------------------------------------------------------
 
     def _perform(self, action: Action) -> None:
-        """Carry out one action."""
+        """Carry out one action of the policy."""
         match action:
             case StartAttempt():
                 self._start_attempt(action)
@@ -258,17 +269,17 @@
             case IncrementCounter(key, amount, ttl_ms):
                 self._increment_counter(key, amount, ttl_ms)
             case WatchEndpoints():
-                pass  # the watch runs from the start
+                pass  # the process starts the watch itself
             case LogEvent(event, fields):
                 log.info(EventMessage(event, dict(fields)))
 
     def _set_timer(self, token: int, at_ms: float) -> None:
-        """Post `TimerFired` at the time or after."""
+        """Post `TimerFired(token)` at Unix time `at_ms` or shortly after."""
         delay_s = max(0.0, at_ms - self.clock.now_ms()) / 1000.0
         self.loop.call_later(delay_s + TIMER_SLACK_S, self.post_event, TimerFired(token))
 
     def _increment_counter(self, key: int, amount: float, ttl_ms: float) -> None:
-        """Call the shared counter."""
+        """Increment the shared counter and post its reply."""
 
         def on_reply(total: float, outcome: CallOutcome, duration_ms: float) -> None:
             self.post_event(CounterReply(key, total, outcome, duration_ms))
@@ -279,51 +290,55 @@
             self.counter.increment(key, amount, ttl_ms, on_reply)
 
     def _start_attempt(self, action: StartAttempt) -> None:
-        """Start an attempt, or complete it unsent where it must not be sent."""
-        ref, server_id = action.request_id, action.server_id
-        request = self.in_flight.get(ref)
+        """Start an attempt, or complete it at once if its request can't be sent."""
+        request_id = action.request_id
+        server_id = action.server_id
+        request = self.in_flight.get(request_id)
         if request is None:
-            self.post_event(AttemptCompleted(ref, 0, server_id, CallOutcome.NOT_SENT, 0.0, True))
+            self.post_event(AttemptCompleted(request_id, 0, server_id, CallOutcome.NOT_SENT, 0.0, True))
             return
         number = request.attempts_started
         request.attempts_started += 1
         timeout_s = request.attempt_timeout_s(self.loop.time(), action.timeout_ms)
-        # This host carries one attempt of a request at a time.
+        # A request has at most one attempt in flight.
         if request.attempt is not None or timeout_s <= 0:
-            self.post_event(AttemptCompleted(ref, number, server_id, CallOutcome.NOT_SENT, 0.0, False))
+            self.post_event(AttemptCompleted(request_id, number, server_id, CallOutcome.NOT_SENT, 0.0, False))
             return
         pool = self.server_pools.writable_pool(server_id)
         if pool is None:
-            self.post_event(AttemptCompleted(ref, number, server_id, CallOutcome.UNREACHABLE, 0.0, False))
+            self.post_event(
+                AttemptCompleted(request_id, number, server_id, CallOutcome.UNREACHABLE, 0.0, False)
+            )
             return
 
         def on_complete(result: AttemptResult) -> None:
             self._complete_attempt(request, number, server_id, result)
 
         attempt = Attempt(pool, request.command.encode, timeout_s, on_complete)
-        request.attempt = self.attempts[ref, number] = attempt
+        request.attempt = attempt
+        self.attempts[request_id, number] = attempt
         attempt.start()
 
     def _complete_attempt(
         self, request: InFlightRequest, number: int, server_id: str, result: AttemptResult
     ) -> None:
-        """Answer the client, if the attempt succeeded, and then tell the policy."""
-        attempt = self.attempts.pop((request.ref, number))
+        """Send the client the value, if the attempt succeeded, and then notify the policy."""
+        attempt = self.attempts.pop((request.policy_request_id, number))
         request.attempt = None
         if result.outcome not in DID_NOT_RUN:
             request.completed_attempt_may_have_run = True
         duration_ms = 1000.0 * (self.loop.time() - attempt.started_at)
         if result.outcome is CallOutcome.OK and result.value is not None:
-            self._answer(request.ref, resp.encode_bulk(result.value))
+            self._answer(request.policy_request_id, resp.encode_bulk(result.value))
         report = parse_load_report(result.load_report)
         self.post_event(
             AttemptCompleted(
-                request.ref,
+                request.policy_request_id,
                 number,
                 server_id,
                 result.outcome,
                 duration_ms,
-                request_completed=request.ref not in self.in_flight,
+                request_completed=request.policy_request_id not in self.in_flight,
                 queue_length=report.queue_length,
                 active_requests=report.active_requests,
             )
--- a/quota_gateway/network/in_flight_request.py
+++ b/quota_gateway/network/in_flight_request.py
@@ -1,4 +1,4 @@
-"""A request that a client is waiting for."""
+"""A request whose client awaits the answer."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from quota_gateway.network.attempt import Attempt
 from quota_gateway.network.commands import RequestCommand
 
-RESPONSE_MARGIN_S = 0.01  # attempts time out this long before the client's deadline, to answer in time
+RESPONSE_MARGIN_S = 0.01  # attempts time out this long before the deadline, to leave time for the reply
 
 
 class InFlightRequest:
     """A request that was accepted from a client and has not been answered.
 
-    `ref` identifies it towards the policy. The client's own request id does not: an attempt may outlive its
-    request, and the client may use the id again meanwhile.
+    `policy_request_id` identifies the request in the policy's events and actions. The client's own request id
+    is unsuitable there: an attempt may outlive its request, and the client may reuse the id meanwhile.
     """
 
     __slots__ = (
@@ -25,29 +25,33 @@
         "completed_attempt_may_have_run",
         "deadline",
         "deadline_timer",
-        "ref",
+        "policy_request_id",
         "send_reply",
     )
 
     def __init__(
-        self, ref: str, command: RequestCommand, deadline: float, send_reply: Callable[[bytes], None]
+        self,
+        policy_request_id: str,
+        command: RequestCommand,
+        deadline: float,
+        send_reply: Callable[[bytes], None],
     ) -> None:
-        self.ref = ref
+        self.policy_request_id = policy_request_id
         self.command = command
-        self.deadline = deadline  # the loop's time
+        self.deadline = deadline  # event loop time
         self.send_reply = send_reply
         self.attempts_started = 0
-        self.attempt: Attempt | None = None  # the one in flight
+        self.attempt: Attempt | None = None  # the attempt in flight, if any
         self.completed_attempt_may_have_run = False
         self.deadline_timer: asyncio.TimerHandle | None = None
 
     def may_have_run(self) -> bool:
-        """Tell whether a server may have run the request, or may still do so."""
+        """Tell whether a server may have run the request or may still run it."""
         if self.completed_attempt_may_have_run:
             return True
         return self.attempt is not None and self.attempt.may_have_run
 
     def attempt_timeout_s(self, now: float, timeout_ms: float) -> float:
-        """Return how long an attempt that starts now may take; a `timeout_ms` of 0 stands for no timeout."""
+        """Return the timeout of an attempt that starts now; a `timeout_ms` of 0 leaves only the deadline."""
         time_left_s = self.deadline - RESPONSE_MARGIN_S - now
         return min(time_left_s, timeout_ms / 1000.0) if timeout_ms > 0 else time_left_s
--- a/quota_gateway/network/pending_reply.py
+++ b/quota_gateway/network/pending_reply.py
@@ -1,4 +1,4 @@
-"""The place of one reply in the order of a connection's replies."""
+"""Slots that keep the replies of a client connection in the order of its commands."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 class PendingReply:
-    """The reply to one command; `reply` is None until it is known, `request` while no request is in flight.
+    """The slot for the reply to one command.
 
-    `on_filled` is called when the reply of a request becomes known.
+    `reply` is None until the encoded reply is known. `request` is set while the command's request is in
+    flight. `on_filled` is called when the reply to a request becomes known.
     """
 
     __slots__ = ("_on_filled", "_open_request_ids", "_request_id", "reply", "request")
@@ -23,18 +24,19 @@
         self.request: InFlightRequest | None = None
 
     def reserve_request_id(self, request_id: bytes) -> None:
-        """Keep other requests from using the request id until this one is over."""
+        """Keep other requests from using the request id until this request is answered or cancelled."""
         self._open_request_ids.add(request_id)
         self._request_id = request_id
 
     def release_request_id(self) -> None:
-        """Let another request use the request id."""
+        """Allow other requests to use the reserved request id, if there is one."""
         if self._request_id is not None:
             self._open_request_ids.discard(self._request_id)
             self._request_id = None
 
     def fill(self, reply: bytes) -> None:
-        """Set the reply of a request, which is over."""
+        """Set the final reply to a request and release its id."""
         self.release_request_id()
-        self.reply, self.request = reply, None
+        self.reply = reply
+        self.request = None
         self._on_filled()
--- a/tests/network/test_bridge.py
+++ b/tests/network/test_bridge.py
@@ -28,12 +28,12 @@
             assert await client.execute(b"PING") == b"PONG"
             reply = await client.execute(b"CALL.POST", CUSTOMER, b"id-1", ORDER_FIELDS, b"body\r\n*1")
             assert reply == b"value"
-            verb, customer, name, fields, body = gateway.servers[0].received_commands()[0]
-            assert (verb, customer, name, body) == (b"CALL.POST", CUSTOMER, b"id-1", b"body\r\n*1")
+            verb, customer, request_id, fields, body = gateway.servers[0].received_commands()[0]
+            assert (verb, customer, request_id, body) == (b"CALL.POST", CUSTOMER, b"id-1", b"body\r\n*1")
             before, _, rest = fields.partition(b"d=")
-            left, _, after = rest.partition(b",")
+            time_left_ms, _, after = rest.partition(b",")
             assert (before, after) == (b"c=order,t=basic,", b"k=5c0f6e1a2b3d4c59")
-            assert 0 < int(left) < 20000
+            assert 0 < int(time_left_ms) < 20000
 
     run_scenario(scenario())
 
@@ -59,7 +59,7 @@
 
 
 def test_a_rejection_of_a_request_that_may_have_run_becomes_a_failure() -> None:
-    """-BUSY promises that no attempt has run, whatever the policy says."""
+    """BUSY promises that no attempt has run. The bridge keeps that promise whatever the policy decides."""
 
     async def scenario() -> None:
         def decide(event: Event) -> list[Action]:
@@ -125,7 +125,7 @@
             assert str(await client.execute(b"CALL.GET", CUSTOMER, b"2", READ_FIELDS)) == "BUSY"
 
     run_scenario(scenario())
-    failures = [each for each in caplog.records if each.name == "quota_gateway" and each.exc_info]
+    failures = [record for record in caplog.records if record.name == "quota_gateway" and record.exc_info]
     logged = [record.getMessage() for record in failures]
     assert logged == ["event=action_failed action=StartAttempt", "event=policy_failed policy_event=Request"]
 
@@ -141,7 +141,8 @@
                 fired.append(clock.now_ms())
             return []
 
-        clock, script = Clock(), ScriptedPolicy(decide)
+        clock = Clock()
+        script = ScriptedPolicy(decide)
         start = clock.now_ms()
         async with running_gateway(policy=script):
             await wait_until(lambda: fired)
