--- a/quota_gateway/network/attempt.py
+++ b/quota_gateway/network/attempt.py
@@ -93,7 +93,7 @@
         connection = self.pool.acquire()
         if connection is not None:
             self._write(connection)
-        elif not pools.make_room():
+        elif not pools.make_room_for_connection():
             self.complete(AttemptResult(CallOutcome.UNREACHABLE))
         else:
             pools.connecting += 1
--- a/quota_gateway/network/bridge.py
+++ b/quota_gateway/network/bridge.py
@@ -221,7 +221,7 @@
             yield
 
     def _apply_endpoint_update(self, update: EndpointUpdate, addresses: dict[str, Address]) -> None:
-        """Update the pools before the policy, so that no request goes to a gone or draining server."""
+        """Update the pools before the policy: its attempts must not reach a server that is removed here."""
         for endpoint in update.endpoints:
             self._apply_endpoint(endpoint, addresses)
         if update.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED_SNAPSHOT):
--- a/quota_gateway/network/server_connection.py
+++ b/quota_gateway/network/server_connection.py
@@ -15,7 +15,7 @@
 
 
 class ResponseReceiver(Protocol):
-    """An attempt, as seen by the connection that carries its request."""
+    """The part of an attempt's interface that its connection uses."""
 
     result: AttemptResult | None
 
@@ -31,7 +31,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """A pool, as seen by its connections."""
+    """The part of a pool's interface that its connections use."""
 
     def add(self, connection: ServerConnection) -> None:
         """Add a connection that has been established."""
--- a/quota_gateway/network/server_pool.py
+++ b/quota_gateway/network/server_pool.py
@@ -1,7 +1,7 @@
-"""Connection pools: one for each server, all within one limit of sockets.
+"""Connection pools: one for each server, all under one limit on open sockets.
 
-A pool hands out the connection that was used last. The others of a burst thus grow idle, and are closed
-before the server would close them under a request.
+A pool reuses its most recently used connection first. Connections opened during a burst then stay idle, and
+the pool closes them before the server's idle timeout would, which could reset a request.
 """
 
 from __future__ import annotations
@@ -13,25 +13,25 @@
 from quota_gateway.network.server_connection import ServerConnection
 from quota_gateway.network.socket_poll import has_unread_bytes
 
-DRAIN_MARGIN_S = 0.05  # a request written this close to the end of a drain's grace might arrive after it
-IDLE_MARGIN_S = 2.0  # idle connections are closed this long before the server would close them
-EXPIRY_INTERVAL_S = 1.0  # idle connections are checked this often
-SETTLE_S = 0.03  # a connection rests this long after a response: see `ServerPool.acquire`
+DRAIN_MARGIN_S = 0.05  # writes end this long before the drain grace, so that none arrives after it
+IDLE_MARGIN_S = 2.0  # idle connections are closed this long before the server's idle timeout
+EXPIRY_INTERVAL_S = 1.0  # time between two searches for connections past the idle limit
+SETTLE_S = 0.03  # time between a response and the reuse of its connection: see `ServerPool.acquire`
 
 
 def idle_limit_s(server_idle_timeout_s: float) -> float:
-    """Return how long a connection may be idle, given the server's own timeout; always less than that."""
+    """Return how long a connection may be idle: a margin less than the server's own idle timeout."""
     return server_idle_timeout_s - min(IDLE_MARGIN_S, 0.5 * server_idle_timeout_s)
 
 
 @dataclass(frozen=True, slots=True)
 class PoolLimits:
-    """Limits from the settings, for all pools."""
+    """Limits that all pools share."""
 
     connect_timeout_s: float
-    idle_s: float  # a connection idle for longer is not used any more
-    drain_grace_s: float  # a server that drains takes requests for this long
-    max_connections: int  # over all servers
+    idle_s: float  # connections idle for this long are closed instead of reused
+    drain_grace_s: float  # time for which a draining server still accepts requests
+    max_connections: int  # limit on the connections to all servers together
 
 
 class ServerPool:
@@ -42,22 +42,25 @@
     def __init__(self, owner: ServerPools, address: Address) -> None:
         self.owner = owner
         self.address = address
-        self.idle: list[ServerConnection] = []  # least recently used first
-        self.connections: set[ServerConnection] = set()  # all that are established
-        # The loop's time after which nothing is written; None while the server is active.
+        self.idle: list[ServerConnection] = []  # ordered from least to most recently used
+        self.connections: set[ServerConnection] = set()  # established connections, idle or in use
+        # Event loop time after which no request is written; None while the server is active.
         self.write_deadline: float | None = None
 
     def writable(self) -> bool:
-        """Tell whether requests may still be written to the server."""
+        """Tell whether requests may be written to the server."""
         return self.write_deadline is None or self.owner.loop.time() <= self.write_deadline
 
     def acquire(self) -> ServerConnection | None:
-        """Take the most recently used idle connection that is safe to write on, or None.
+        """Remove the most recently used idle connection that is safe to write on and return it, or None.
 
-        Unsafe are connections that the server may be closing for idleness, and those whose last response was
-        so recent that surplus bytes or the end of the stream may still be on their way: a request written
-        there would receive another request's value, or be reset. The same holds where something has arrived
-        that the loop has not read yet.
+        Three kinds of connections are unsafe, since a request written on them may receive another request's
+        value or be reset:
+
+        - those past the idle limit, which the server may be closing;
+        - those with a response less than `SETTLE_S` ago, on which surplus bytes or the end of the stream may
+          still arrive;
+        - those with input in the kernel that the event loop has not read yet.
         """
         now = self.owner.loop.time()
         for index in range(len(self.idle) - 1, -1, -1):
@@ -74,7 +77,7 @@
         return None
 
     def add(self, connection: ServerConnection) -> None:
-        """Count a connection that has been established."""
+        """Add a connection that has been established."""
         self.connections.add(connection)
 
     def release(self, connection: ServerConnection) -> None:
@@ -87,13 +90,13 @@
         self.idle.append(connection)
 
     def discard(self, connection: ServerConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a connection that is closed."""
         self.connections.discard(connection)
         if connection in self.idle:
             self.idle.remove(connection)
 
     def close_idle(self, unused_since: float | None = None) -> None:
-        """Close idle connections: all, or those last used at or before a time of the loop."""
+        """Close all idle connections, or those last used at or before the event loop time `unused_since`."""
         kept: list[ServerConnection] = []
         if unused_since is not None:
             kept = [connection for connection in self.idle if connection.idle_since > unused_since]
@@ -103,7 +106,10 @@
             connection.abort()
 
     def drain(self) -> None:
-        """Close idle connections and stop writing once the grace is over, which the first call starts."""
+        """Close idle connections and start the grace period, after which no request is written.
+
+        Further calls do not extend the grace period.
+        """
         if self.write_deadline is None:
             grace_s = self.owner.limits.drain_grace_s - DRAIN_MARGIN_S
             self.write_deadline = self.owner.loop.time() + grace_s
@@ -111,54 +117,59 @@
 
 
 class ServerPools:
-    """The pools of all servers, by server id."""
+    """The connection pools of all servers by server id, and the limit on their connections."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, limits: PoolLimits) -> None:
         self.loop = loop
         self.limits = limits
         self.pools: dict[str, ServerPool] = {}
-        self.removed: set[ServerPool] = set()  # pools of servers no longer listed, with connections in use
-        self.connecting = 0  # connections being established
+        self.retired: set[ServerPool] = set()  # replaced or removed pools whose connections are in use
+        self.connecting = 0  # number of connections being established
         self.expiry_timer = loop.call_later(EXPIRY_INTERVAL_S, self.close_expired)
 
     def activate(self, server_id: str, address: Address, restarted: bool) -> None:
-        """Have a pool for a server that takes requests; a moved or formerly draining one gets a new pool."""
+        """Provide a pool for an active server.
+
+        A server with a new address, or one that was draining, gets a new pool. A restarted server keeps its
+        pool without the idle connections.
+        """
         pool = self.pools.get(server_id)
         if pool is None or pool.write_deadline is not None or pool.address != address:
             if pool is not None:
                 self._retire(pool)
             self.pools[server_id] = ServerPool(self, address)
         elif restarted:
-            pool.close_idle()  # these connections lead to the process that ended
+            pool.close_idle()  # they lead to the server's previous process
 
     def drain(self, server_id: str) -> None:
-        """Stop using a server once the grace is over; requests in flight may finish."""
+        """Stop sending requests to a server after the drain grace period; requests in flight may finish."""
         pool = self.pools.get(server_id)
         if pool is not None:
             pool.drain()
 
     def remove(self, server_id: str) -> None:
-        """Forget a server that is no longer listed; requests in flight may finish."""
+        """Remove a server that is no longer listed; requests in flight may finish."""
         pool = self.pools.pop(server_id, None)
         if pool is not None:
             self._retire(pool)
 
     def _retire(self, pool: ServerPool) -> None:
-        self.removed.add(pool)
+        """Keep a pool that is no longer used until its connections are closed."""
+        self.retired.add(pool)
         pool.drain()
 
     def writable_pool(self, server_id: str) -> ServerPool | None:
-        """Return the server's pool, or None if the server is not listed or takes no more requests."""
+        """Return the server's pool, or None if no request may be written to the server."""
         pool = self.pools.get(server_id)
         return pool if pool is not None and pool.writable() else None
 
     def socket_count(self) -> int:
         """Return the number of sockets in use, connections being established included."""
-        pools = [*self.pools.values(), *self.removed]
+        pools = [*self.pools.values(), *self.retired]
         return self.connecting + sum(len(pool.connections) for pool in pools)
 
-    def make_room(self) -> bool:
-        """Tell whether a connection may be opened; at the limit, close the longest idle one for it."""
+    def make_room_for_connection(self) -> bool:
+        """Tell whether a connection may be opened; at the limit, close the longest idle connection first."""
         if self.socket_count() < self.limits.max_connections:
             return True
         pools = [pool for pool in self.pools.values() if pool.idle]
@@ -169,16 +180,16 @@
         return True
 
     def close_expired(self) -> None:
-        """Close connections idle for too long and forget removed pools that are empty; runs periodically."""
+        """Close connections past the idle limit and drop empty retired pools; schedules its next run."""
         self.expiry_timer = self.loop.call_later(EXPIRY_INTERVAL_S, self.close_expired)
         unused_since = self.loop.time() - self.limits.idle_s
         for pool in self.pools.values():
             pool.close_idle(unused_since)
-        self.removed = {pool for pool in self.removed if pool.connections}
+        self.retired = {pool for pool in self.retired if pool.connections}
 
     def close(self) -> None:
-        """Close all connections, at the end of the process."""
+        """Close all connections and stop the periodic expiry, at the end of the process."""
         self.expiry_timer.cancel()
-        for pool in [*self.pools.values(), *self.removed]:
+        for pool in [*self.pools.values(), *self.retired]:
             for connection in list(pool.connections):
                 connection.abort()
--- a/tests/network/test_server_pool.py
+++ b/tests/network/test_server_pool.py
@@ -28,11 +28,11 @@
             assert [await client.read_reply(), await client.read_reply()] == [b"value", b"value"]
             pool = gateway.server_pools.pools["s0"]
             assert len(pool.idle) == 2
-            last = pool.idle[-1]
+            most_recently_used = pool.idle[-1]
             for connection in pool.idle:
                 connection.idle_since -= 2 * SETTLE_S
             assert await client.execute(b"CALL.GET", CUSTOMER, b"3", READ_FIELDS) == b"value"
-            assert pool.idle[-1] is last
+            assert pool.idle[-1] is most_recently_used
             assert len(gateway.servers[0].writers) == 2
 
     run_scenario(scenario())
@@ -98,9 +98,9 @@
     run_scenario(scenario())
 
 
-@pytest.mark.parametrize("last", [OK_RESPONSE, b""])
-def test_an_idle_connection_with_unread_bytes_is_not_used(last: bytes) -> None:
-    """A late duplicate response would be served to the next request; an end of stream would reset it."""
+@pytest.mark.parametrize("unread", [OK_RESPONSE, b""])
+def test_an_idle_connection_with_unread_bytes_is_not_used(unread: bytes) -> None:
+    """The next request would receive a late duplicate response, or be reset after an end of stream."""
 
     async def scenario() -> None:
         async with running_gateway(always_reply(OK_RESPONSE), policy=forwarding_policy()) as gateway:
@@ -109,12 +109,12 @@
             pool = gateway.server_pools.pools["s0"]
             (connection,) = pool.idle
             connection.idle_since -= 2 * SETTLE_S
-            assert pool.acquire() is connection  # nothing has arrived
+            assert pool.acquire() is connection  # no input has arrived
             pool.idle.append(connection)
             (writer,) = gateway.servers[0].writers
             with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as peer:
-                peer.send(last) if last else peer.shutdown(socket.SHUT_WR)
-            assert pool.acquire() is None  # in the same iteration of the loop
+                peer.send(unread) if unread else peer.shutdown(socket.SHUT_WR)
+            assert pool.acquire() is None  # the event loop reads the input only in its next iteration
             await wait_until(lambda: not pool.connections)
 
     run_scenario(scenario())
