--- a/quota_gateway/network/server_pool.py
+++ b/quota_gateway/network/server_pool.py
@@ -16,7 +16,7 @@
 DRAIN_MARGIN_S = 0.05  # writes end this long before the drain grace, so that none arrives after it
 IDLE_MARGIN_S = 2.0  # idle connections are closed this long before the server's idle timeout
 EXPIRY_INTERVAL_S = 1.0  # time between two searches for connections past the idle limit
-SETTLE_S = 0.03  # time between a response and the reuse of its connection: see `ServerPool.acquire`
+MIN_REUSE_DELAY_S = 0.03  # least time between a response and the next request: see `acquire`
 
 
 def idle_limit_s(server_idle_timeout_s: float) -> float:
@@ -58,14 +58,14 @@
         value or be reset:
 
         - those past the idle limit, which the server may be closing;
-        - those with a response less than `SETTLE_S` ago, on which surplus bytes or the end of the stream may
-          still arrive;
+        - those whose last response is more recent than `MIN_REUSE_DELAY_S`, on which surplus bytes or the end
+          of the stream may still arrive;
         - those with input in the kernel that the event loop has not read yet.
         """
         now = self.owner.loop.time()
         for index in range(len(self.idle) - 1, -1, -1):
             connection = self.idle[index]
-            if now - connection.idle_since < SETTLE_S:
+            if now - connection.idle_since < MIN_REUSE_DELAY_S:
                 continue
             del self.idle[index]
             if connection.transport is None or connection.transport.is_closing():
--- a/tests/network/test_server_connection.py
+++ b/tests/network/test_server_connection.py
@@ -32,7 +32,7 @@
             assert len(gateway.servers[0].writers) == 8
 
     monkeypatch.setattr(
-        server_pool, "SETTLE_S", 30.0
+        server_pool, "MIN_REUSE_DELAY_S", 30.0
     )  # no connection is reused during the test, however slow the machine
     run_scenario(scenario())
 
--- a/tests/network/test_server_pool.py
+++ b/tests/network/test_server_pool.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from quota_gateway.network.server_pool import SETTLE_S, idle_limit_s
+from quota_gateway.network.server_pool import MIN_REUSE_DELAY_S, idle_limit_s
 from quota_gateway.policy_api.events import (
     AttemptCompleted,
     CallOutcome,
@@ -30,7 +30,7 @@
             assert len(pool.idle) == 2
             most_recently_used = pool.idle[-1]
             for connection in pool.idle:
-                connection.idle_since -= 2 * SETTLE_S
+                connection.idle_since -= 2 * MIN_REUSE_DELAY_S
             assert await client.execute(b"CALL.GET", CUSTOMER, b"3", READ_FIELDS) == b"value"
             assert pool.idle[-1] is most_recently_used
             assert len(gateway.servers[0].writers) == 2
@@ -108,7 +108,7 @@
             assert await client.execute(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS) == b"value"
             pool = gateway.server_pools.pools["s0"]
             (connection,) = pool.idle
-            connection.idle_since -= 2 * SETTLE_S
+            connection.idle_since -= 2 * MIN_REUSE_DELAY_S
             assert pool.acquire() is connection  # no input has arrived
             pool.idle.append(connection)
             (writer,) = gateway.servers[0].writers
