--- a/quota_gateway/network/descriptors.py
+++ b/quota_gateway/network/descriptors.py
@@ -1,4 +1,4 @@
-"""The budget of file descriptors: how many connections of each kind a process may hold."""
+"""The budget of file descriptors: the number of connections of each kind that a process may hold."""
 
 from __future__ import annotations
 
@@ -7,25 +7,35 @@
 from quota_gateway.network.counter_client import CONNECTION_COUNT
 from quota_gateway.network.listener import MAX_REFUSED_CONNECTIONS
 
-# Descriptors that are neither a client's nor a server's: the counter's connections, twice while its address
-# changes; discovery's connection and the next one; the listener; the standard streams; the event loop's and
-# those of a poll.
-RESERVED_DESCRIPTORS = 2 * CONNECTION_COUNT + 2 + 1 + 3 + 8
+# Descriptors that neither clients nor servers use. Connections to the counter and to discovery count twice,
+# because new ones may be opened before the old ones are closed, as after a change of the counter's address.
+COUNTER_DESCRIPTORS = 2 * CONNECTION_COUNT
+DISCOVERY_DESCRIPTORS = 2
+LISTENER_DESCRIPTORS = 1
+STANDARD_STREAM_DESCRIPTORS = 3
+EVENT_LOOP_DESCRIPTORS = 8  # descriptors of the event loop and of polls
+RESERVED_DESCRIPTORS = (
+    COUNTER_DESCRIPTORS
+    + DISCOVERY_DESCRIPTORS
+    + LISTENER_DESCRIPTORS
+    + STANDARD_STREAM_DESCRIPTORS
+    + EVENT_LOOP_DESCRIPTORS
+)
 
 
 class DescriptorBudget(NamedTuple):
-    """The most connections of each kind."""
+    """The maximum number of connections of each kind."""
 
     servers: int
     clients: int
-    spare_clients: int  # beyond `clients`: accepted only to be rejected and closed
+    spare_clients: int  # connections beyond `clients`, accepted only to send an error and close
 
 
 def allocate_descriptors(max_sockets: int) -> DescriptorBudget:
-    """Divide the descriptors that a process may hold.
+    """Divide the descriptors that a process may hold among servers, clients and refused clients.
 
-    The reserved ones are kept back first: clients that use up theirs must not keep discovery, the counter or
-    the servers from getting a connection.
+    The reserved descriptors are set aside first, and each kind has a limit of its own: clients that use up
+    theirs must not keep discovery, the counter or the servers from getting a connection.
     """
     available = max_sockets - RESERVED_DESCRIPTORS
     servers = min(max_sockets * 3 // 10, available * 3 // 8)
--- a/quota_gateway/network/load_report.py
+++ b/quota_gateway/network/load_report.py
@@ -42,7 +42,8 @@
     """
     if not text or len(text) > MAX_REPORT_BYTES:
         return NO_REPORT
-    queue_length = active_requests = None
+    queue_length: float | None = None
+    active_requests: float | None = None
     for field in text.split(b","):
         name, _, digits = field.partition(b"=")
         value = float(digits) if _NUMBER.fullmatch(digits) else math.inf
--- a/tests/network/test_descriptors.py
+++ b/tests/network/test_descriptors.py
@@ -1,4 +1,4 @@
-"""The descriptor budget: idle clients must leave discovery, the counter and the servers theirs."""
+"""The descriptor budget: idle clients must not use up the descriptors of the other peers."""
 
 from __future__ import annotations
 
@@ -27,10 +27,12 @@
 
 
 class IdleClients:
-    """Clients that connect, send nothing, and connect again when they are closed."""
+    """Clients that connect, send nothing, and reconnect when the gateway closes the connection."""
 
     def __init__(self, port: int) -> None:
-        self.port, self.accepted, self.closed = port, 0, 0
+        self.port = port
+        self.accepted = 0
+        self.closed = 0
         self.tasks: list[asyncio.Task[None]] = []
 
     def connect(self, count: int) -> None:
@@ -55,33 +57,35 @@
 
 
 class Peers:
-    """A gateway's peers, of which only the server runs from the start."""
+    """The peers of a gateway. Only the server runs from the start."""
 
     def __init__(self) -> None:
         self.release = asyncio.Event()
         self.counter = ScriptedRespServer(always_reply(b"$1\r\n1\r\n"))
         self.server = ScriptedRespServer(self.reply)
-        self.discovery_port, self.counter_port, self.listen_port = free_port(), free_port(), free_port()
+        self.discovery_port = free_port()
+        self.counter_port = free_port()
+        self.listen_port = free_port()
         self.discovery: ScriptedDiscovery | None = None
 
     async def reply(self, words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
         await self.release.wait()
         return OK_RESPONSE
 
-    def config(self, sockets: int) -> dict[str, Any]:
+    def config(self, max_sockets: int) -> dict[str, Any]:
         rows = [server_row("old", free_port())]
         raw = raw_config(self.discovery_port, self.counter_port, rows, self.listen_port)
-        return raw | {"limits": {"sockets": sockets}}
+        return raw | {"limits": {"sockets": max_sockets}}
 
     async def start_discovery(self) -> None:
-        """Starts discovery, until the gateway has its list and a watch is open."""
+        """Start discovery and wait until the gateway has its endpoint list and a watch is open."""
         discovery = ScriptedDiscovery(endpoint_list_response(2, [server_row("new", self.server.port)]))
         self.discovery = discovery
         await discovery.start(self.discovery_port)
         await wait_until(lambda: len(discovery.targets) == 2)
 
     async def start_counter(self) -> None:
-        """Starts the counter, until the gateway has all its connections to it."""
+        """Start the counter and wait until the gateway has opened all its connections to it."""
         await self.counter.start(self.counter_port)
         await wait_until(lambda: len(self.counter.writers) >= CONNECTION_COUNT)
 
@@ -95,7 +99,7 @@
 def test_discovery_counter_and_servers_get_theirs_when_idle_clients_fill_the_rest(
     tmp_path: Path, sockets: int
 ) -> None:
-    """All three come back while the clients stay; servers get as many requests at once as they may."""
+    """Discovery and the counter start, and the server gets requests, while idle clients hold their limit."""
 
     async def scenario() -> None:
         peers = Peers()
@@ -109,14 +113,15 @@
             await wait_until(lambda: idle_clients.accepted > sockets and idle_clients.closed > sockets // 2)
             await peers.start_discovery()
             client = await RespClient.connect(peers.listen_port)
-            most = min(allocate_descriptors(sockets).servers, 24)  # more at once the policy takes for a surge
-            for number in range(most):
+            # With more concurrent requests than 24, the policy would detect a surge and reject some.
+            request_count = min(allocate_descriptors(sockets).servers, 24)
+            for number in range(request_count):
                 client.send(b"CALL.GET", CUSTOMER, b"%d" % number, READ_FIELDS)
-            await wait_until(lambda: len(peers.server.received_commands()) == most)
+            await wait_until(lambda: len(peers.server.received_commands()) == request_count)
             await peers.start_counter()
             assert len(os.listdir(f"/proc/{process.pid}/fd")) <= sockets
             peers.release.set()
-            assert [await client.read_reply() for _ in range(most)] == [b"value"] * most
+            assert [await client.read_reply() for _ in range(request_count)] == [b"value"] * request_count
             idle_clients.cancel()
             process.terminate()
             _, err = await process.communicate()
--- a/tests/network/test_graceful_shutdown.py
+++ b/tests/network/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: requests accepted are answered, whatever they cross."""
+"""Graceful shutdown: every accepted request is answered, whenever it arrives during the shutdown."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
     async def scenario() -> None:
         release = asyncio.Event()
         async with running_gateway(reply_once_released(release), policy=forwarding_policy()) as gateway:
-            client, silent = await gateway.connect_client(), await gateway.connect_client()
+            client = await gateway.connect_client()
+            silent = await gateway.connect_client()
             client.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
             await wait_until(
                 lambda: (
@@ -28,7 +29,7 @@
             server = gateway.listener.server
             shutdown = asyncio.ensure_future(gateway.process.shut_down())
             await wait_until(lambda: server is not None and not server.is_serving())
-            # Behind a request in flight, and as the first on a connection that was open before.
+            # One request follows a request in flight, one is the first on a connection opened before.
             client.send(b"CALL.GET", CUSTOMER, b"2", READ_FIELDS)
             silent.send(b"CALL.GET", CUSTOMER, b"3", READ_FIELDS)
             await wait_until(lambda: len(gateway.servers[0].received_commands()) == 3)
@@ -43,7 +44,8 @@
 def test_shut_down_answers_requests_in_flight_and_rejects_later_ones() -> None:
     async def scenario() -> None:
         async with running_gateway(always_reply(None), policy=forwarding_policy()) as gateway:
-            client, other = await gateway.connect_client(), await gateway.connect_client()
+            client = await gateway.connect_client()
+            other = await gateway.connect_client()
             client.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
             await wait_until(lambda: len(gateway.servers[0].received_commands()) == 1)
             gateway.bridge.shut_down()
@@ -55,6 +57,11 @@
     run_scenario(scenario())
 
 
-@pytest.mark.parametrize(("longest_ms", "end_s"), [(400.0, 0.6), (1000.0, 1.2), (2500.0, 2.7), (9000.0, 3.2)])
-def test_the_shutdown_ends_before_the_kill_that_the_deadlines_allow(longest_ms: float, end_s: float) -> None:
-    assert drain_duration_s(longest_ms) == pytest.approx(end_s)
+@pytest.mark.parametrize(
+    ("max_deadline_ms", "drain_s"), [(400.0, 0.6), (1000.0, 1.2), (2500.0, 2.7), (9000.0, 3.2)]
+)
+def test_the_shutdown_ends_before_the_kill_that_the_deadlines_allow(
+    max_deadline_ms: float, drain_s: float
+) -> None:
+    """The platform sends SIGKILL 0.7 s after the longest deadline, which counts as 3 s at most."""
+    assert drain_duration_s(max_deadline_ms) == pytest.approx(drain_s)
