--- a/quota_gateway/network/client_connection.py
+++ b/quota_gateway/network/client_connection.py
@@ -1,11 +1,11 @@
-"""A client's connection: commands are parsed, and replies leave in the order of their commands.
+"""A client's connection: parses commands and sends the replies in the order of the commands.
 
-The life of a connection:
+The states of a connection:
 
     OPEN -> CLOSING or CLOSING_AFTER_ERROR -> HALF_CLOSED -> CLOSED
 
-What a client can make the gateway hold is bounded: bytes of a message, pending replies, unread replies, time
-without a command, and commands processed in one iteration of the event loop.
+Limits bound what one client can occupy: bytes of a message, pending replies, unread replies, time without a
+command, and commands processed in one iteration of the event loop.
 """
 
 from __future__ import annotations
@@ -32,38 +32,38 @@
 
 log = logging.getLogger("quota_gateway")
 
-MAX_PENDING_REPLIES = 64  # further commands stay in the buffer
-MAX_COMMANDS_PER_ITERATION = 16  # then other connections get their share of the event loop
-MAX_COMMAND_ERRORS = 8  # a client that goes on sending what can't be served costs the others, and is closed
-FIRST_COMMAND_TIMEOUT_S = 2.0  # from connecting to the end of the first command
-PARTIAL_COMMAND_TIMEOUT_S = 2.0  # from the beginning of a command to its end
-UNREAD_REPLIES_TIMEOUT_S = 30.0  # for a client that does not read its replies
-LINGER_TIMEOUT_S = 0.5  # for the client to read an error and close, while its input is discarded
-MAX_DISCARDED_BYTES = 4 * 1024 * 1024  # of input after the last command; then the connection is aborted
-WRITE_BUFFER_BYTES = 256 * 1024  # of unread replies; beyond that no commands are processed
-READ_BUFFER_BYTES = 64 * 1024  # of unprocessed commands; beyond that the socket is not read
+MAX_PENDING_REPLIES = 64  # at this number, further commands stay in the buffer
+MAX_COMMANDS_PER_ITERATION = 16  # bounds the time that other connections wait for the event loop
+MAX_COMMAND_ERRORS = 8  # then the connection is closed: invalid commands take time from other clients
+FIRST_COMMAND_TIMEOUT_S = 2.0  # time that a new connection may stay silent
+PARTIAL_COMMAND_TIMEOUT_S = 2.0  # time between the beginning and the end of a command
+UNREAD_REPLIES_TIMEOUT_S = 30.0  # time for which a client may leave its replies unread
+LINGER_TIMEOUT_S = 0.5  # time for the client to read an error and close; its input is discarded
+MAX_DISCARDED_BYTES = 4 * 1024 * 1024  # input discarded before the connection is aborted
+WRITE_BUFFER_BYTES = 256 * 1024  # unread replies beyond this size stop the processing of commands
+READ_BUFFER_BYTES = 64 * 1024  # from this size of unprocessed commands on, reading may pause
 
 
 class ConnectionState(Enum):
     """The state of a client connection."""
 
     OPEN = auto()  # commands are processed
-    CLOSING = auto()  # no more commands; pending replies are still sent
-    CLOSING_AFTER_ERROR = auto()  # the same, and the client gets time to read the error sent last
-    HALF_CLOSED = auto()  # all replies are written and our side is shut; the client's close is awaited
-    CLOSED = auto()  # the transport is gone
+    CLOSING = auto()  # commands are no longer processed; pending replies are still sent
+    CLOSING_AFTER_ERROR = auto()  # like CLOSING, and the client gets time to read the final error
+    HALF_CLOSED = auto()  # all replies are written; the client's close is awaited
+    CLOSED = auto()  # the transport is closed
 
 
 class Processing(Enum):
-    """Whether buffered commands are being processed."""
+    """The state of processing the buffered commands."""
 
     NONE = auto()
-    SCHEDULED = auto()  # the loop's next iteration processes the commands left in the buffer
+    SCHEDULED = auto()  # the next iteration of the event loop processes the buffered commands
     RUNNING = auto()
 
 
 class ConnectionOwner(Protocol):
-    """The listener, as seen by its connections."""
+    """The part of the listener's interface that its connections use."""
 
     loop: asyncio.AbstractEventLoop
     bridge: PolicyBridge
@@ -72,16 +72,16 @@
     draining: bool
 
     def add(self, connection: ClientConnection) -> None:
-        """Admit or refuse a new connection."""
+        """Accept or refuse a new connection."""
 
     def discard(self, connection: ClientConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a connection that is closed."""
 
-    def watch_for_disconnect(self, connection: ClientConnection) -> None:
-        """Poll a connection that is not read, since nothing else would report its disconnect."""
+    def start_disconnect_poll(self, connection: ClientConnection) -> None:
+        """Poll a connection whose reading is paused: the event loop does not report its disconnect."""
 
-    def unwatch(self, connection: ClientConnection) -> None:
-        """Stop polling a connection, which is read again."""
+    def stop_disconnect_poll(self, connection: ClientConnection) -> None:
+        """Stop polling a connection whose reading is resumed."""
 
 
 class ClientConnection(asyncio.Protocol):
@@ -110,11 +110,11 @@
         self.transport: asyncio.Transport | None = None
         self.state = ConnectionState.OPEN
         self.pending: deque[PendingReply] = deque()
-        # Flow control, apart from the state.
+        # Flow control, independent of `state`.
         self.processing = Processing.NONE
-        self.write_buffer_full = False  # the client does not read its replies
+        self.write_buffer_full = False  # set while the client does not read its replies
         self.reading_paused = False
-        # What the timeouts and limits go by. Times are the loop's.
+        # State of timeouts and limits, in event loop time.
         self.has_sent_command = False
         self.last_activity = 0.0
         self.partial_command_since: float | None = None
@@ -145,14 +145,15 @@
             self.process_commands()
 
     def eof_received(self) -> None:
-        """Treat the end of the client's stream as a disconnect.
+        """Treat the end of the client's stream as a disconnect and cancel its requests.
 
-        The transport closes by itself once the written replies have left, which may never happen.
+        The transport closes only once the written replies are sent. That may never happen if the client does
+        not read them, so the cancellation must not wait for it.
         """
         self.cancel_requests()
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # the signature of asyncio.Protocol
-        """Forget the closed connection."""
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # asyncio.Protocol sets the signature
+        """Leave the listener and cancel the requests of the closed connection."""
         self.transport = None
         self.owner.discard(self)
         self.cancel_requests()
@@ -164,7 +165,7 @@
         self._update_reading()
 
     def resume_writing(self) -> None:
-        """Go on processing commands: the client has read its replies."""
+        """Resume processing commands: the client has read its replies."""
         self.write_buffer_full = False
         self.last_activity = self.owner.loop.time()
         self._update_reading()
@@ -173,31 +174,33 @@
     # --- commands ----------------------------------------------------------------------------------------
 
     def process_commands(self) -> None:
-        """Process buffered commands, as many as flow control and the limit of one iteration allow."""
+        """Process as many buffered commands as flow control and the limit of one iteration allow."""
         if self.processing is Processing.RUNNING:
             return
         self.processing = Processing.RUNNING
-        commands_left = MAX_COMMANDS_PER_ITERATION
+        remaining_commands = MAX_COMMANDS_PER_ITERATION
         try:
-            while commands_left and self._can_process():
+            while remaining_commands and self._can_process():
                 message = self.parser.next_message()
                 if message is resp.NEED_DATA:
                     break
-                commands_left -= 1
-                self.has_sent_command, self.partial_command_since = True, None
+                remaining_commands -= 1
+                self.has_sent_command = True
+                self.partial_command_since = None
                 self._process_command(message)
         except resp.ProtocolError as error:
             self.close_with_error(error)
         finally:
             self.processing = Processing.NONE
         if self.state is ConnectionState.OPEN and self.parser.buffered_bytes():
-            if not commands_left:
+            if not remaining_commands:
                 self._schedule_processing()
             elif self.partial_command_since is None:
                 self.partial_command_since = self.owner.loop.time()
         self.flush()
 
     def _can_process(self) -> bool:
+        """Tell whether state and flow control allow another command to be processed."""
         return (
             self.state is ConnectionState.OPEN
             and not self.write_buffer_full
@@ -205,13 +208,16 @@
         )
 
     def _schedule_processing(self) -> None:
-        """Process the commands left in the buffer in the loop's next iteration."""
+        """Process the buffered commands in the next iteration of the event loop."""
         if self.processing is not Processing.SCHEDULED:
             self.processing = Processing.SCHEDULED
             self.owner.loop.call_soon(self.process_commands)
 
     def _process_command(self, message: resp.Message) -> None:
-        """Process one command. An invalid one gets an error; only what breaks RESP raises `ProtocolError`."""
+        """Process one command; an invalid command gets an error reply.
+
+        Raises `ProtocolError` for a message that is not a command at all.
+        """
         if not is_command(message):
             raise resp.ProtocolError("expected an array of bulk strings")
         pending = PendingReply(self.owner.open_request_ids, self.flush)
@@ -224,12 +230,12 @@
             if self.command_errors >= MAX_COMMAND_ERRORS:
                 self._begin_closing(ConnectionState.CLOSING_AFTER_ERROR)
         except Exception:
-            # A defect must not end the connection, and with it the other requests on it.
+            # An internal error must not close the connection, which may carry other requests.
             log_event(log, logging.ERROR, "command_failed", exc_info=True)
             pending.reply = pending.reply or resp.FAILED
 
     def _execute(self, pending: PendingReply, words: list[bytes]) -> None:
-        """Start a request, or answer any other command at once."""
+        """Start a request, or reply to any other command at once."""
         verb = words[0].upper()
         if verb in REQUEST_VERBS:
             self._start_request(pending, words)
@@ -239,10 +245,11 @@
             self._begin_closing(ConnectionState.CLOSING)
 
     def _start_request(self, pending: PendingReply, words: list[bytes]) -> None:
-        """Hand a request to the bridge, which may answer it before this returns."""
+        """Hand a request to the bridge, which may answer it within the call."""
         command = self.owner.command_parser.parse(words)
         if command.request_id in self.owner.open_request_ids:
-            # Servers tell requests apart by their ids: two at once could get each other's result.
+            # Servers identify requests by id: two concurrent requests with the same id could get each
+            # other's result.
             raise CommandError("this request id is in use")
         pending.reserve_request_id(command.request_id)
         try:
@@ -254,7 +261,7 @@
             pending.request = request
 
     def cancel_requests(self) -> None:
-        """Cancel the requests in flight: the client has disconnected."""
+        """Cancel the requests in flight and drop the pending replies, after the client has disconnected."""
         self._begin_closing(ConnectionState.CLOSING)
         abandoned, self.pending = self.pending, deque()
         for pending in abandoned:
@@ -266,9 +273,10 @@
     # --- replies and flow control ------------------------------------------------------------------------
 
     def flush(self) -> None:
-        """Write the replies that are next in order; then close, process more commands or adapt reading.
+        """Write the replies that are next in order, then close, process more commands or update reading.
 
-        Without effect while commands are processed: their replies are written together afterwards.
+        Does nothing while commands are being processed: `process_commands` flushes their replies together
+        at its end.
         """
         if self.transport is None or self.processing is Processing.RUNNING:
             return
@@ -283,50 +291,50 @@
         if self.state is not ConnectionState.OPEN and not self.pending:
             self._half_close()
             return
-        if ready and self.parser.buffered_bytes() and self._may_continue():
+        if ready and self.parser.buffered_bytes() and self._is_open_and_writable():
             self._schedule_processing()
         self._update_reading()
 
-    def _may_continue(self) -> bool:
+    def _is_open_and_writable(self) -> bool:
         return self.state is ConnectionState.OPEN and not self.write_buffer_full
 
     def _update_reading(self) -> None:
         """Pause or resume reading the socket.
 
-        Reading pauses only once `READ_BUFFER_BYTES` are buffered: a client's disconnect shows only behind
-        what it has sent before.
+        Even while no command can be processed, reading pauses only once `READ_BUFFER_BYTES` are buffered: the
+        end of the client's stream is only seen after the bytes sent before it have been read.
         """
-        blocked = (
+        processing_blocked = (
             self.processing is Processing.SCHEDULED
             or self.write_buffer_full
             or len(self.pending) >= MAX_PENDING_REPLIES
         )
         buffer_full = self.parser.buffered_bytes() >= READ_BUFFER_BYTES
-        pause = blocked and self.state is ConnectionState.OPEN and buffer_full
+        pause = processing_blocked and self.state is ConnectionState.OPEN and buffer_full
         if self.transport is None or self.transport.is_closing() or pause == self.reading_paused:
             return
         self.reading_paused = pause
         if pause:
             self.transport.pause_reading()
-            self.owner.watch_for_disconnect(self)
+            self.owner.start_disconnect_poll(self)
         else:
             self.transport.resume_reading()
-            self.owner.unwatch(self)
+            self.owner.stop_disconnect_poll(self)
 
-    # --- the end of the connection -----------------------------------------------------------------------
+    # --- closing the connection ----------------------------------------------------------------------------
 
     def is_idle(self) -> bool:
-        """Tell whether the connection is between requests."""
+        """Tell whether the connection is open and between requests."""
         return not self.pending and self.state is ConnectionState.OPEN and not self.parser.buffered_bytes()
 
     def close_if_nothing_unread(self) -> None:
-        """Close unless unread data may hold a request, which the client would have to retry."""
+        """Close, unless unread data in the kernel may hold a request, which would be lost."""
         if self.transport is not None and not has_unread_bytes(self.transport):
             self._begin_closing(ConnectionState.CLOSING)
             self._half_close()
 
     def close_with_error(self, error: resp.ProtocolError) -> None:
-        """Send an error after the pending replies, and close."""
+        """Send a protocol error after the pending replies, then close."""
         pending = PendingReply(self.owner.open_request_ids, self.flush)
         pending.reply = resp.encode_error(f"Protocol error: {error}")
         self.pending.append(pending)
@@ -334,7 +342,10 @@
         self.flush()
 
     def close_if_timed_out(self, now: float, idle_timeout_s: float) -> None:
-        """Close the connection if a timeout has passed: a client that has vanished sends nothing."""
+        """Close the connection if one of its timeouts has passed at event loop time `now`.
+
+        A client whose host has vanished never closes its connection itself.
+        """
         if self.transport is None:
             return
         inactive_s = now - self.last_activity
@@ -359,15 +370,15 @@
         return since is not None and now - since > PARTIAL_COMMAND_TIMEOUT_S
 
     def _begin_closing(self, state: ConnectionState) -> None:
-        """Stop processing commands; without effect on a connection that is closing already."""
+        """Stop processing commands; does nothing if the connection is already closing."""
         if self.state is ConnectionState.OPEN:
             self.state = state
 
     def _half_close(self) -> None:
-        """Shut our side once all replies are written.
+        """Close the write side once all replies are written.
 
-        To close with input unread would reset the connection, and the client could lose the error that was
-        just written. After an error, the input is therefore read and discarded until the client closes.
+        Closing a socket with unread input resets the connection, and the client could lose the error that was
+        just written. After an error, input is therefore read and discarded until the client closes.
         """
         if self.transport is None or self.state is ConnectionState.HALF_CLOSED:
             return
@@ -381,9 +392,9 @@
         else:
             self.transport.close()
 
-    def _discard_input(self, count: int) -> None:
-        """Count input that nobody processes; beyond the limit, abort the connection."""
-        self.discarded_bytes += count
-        too_much = self.discarded_bytes > MAX_DISCARDED_BYTES
-        if too_much and not self.pending and self.transport is not None:
+    def _discard_input(self, byte_count: int) -> None:
+        """Count discarded input; beyond `MAX_DISCARDED_BYTES`, abort a connection without pending replies."""
+        self.discarded_bytes += byte_count
+        limit_exceeded = self.discarded_bytes > MAX_DISCARDED_BYTES
+        if limit_exceeded and not self.pending and self.transport is not None:
             self.transport.abort()
--- a/quota_gateway/network/listener.py
+++ b/quota_gateway/network/listener.py
@@ -1,4 +1,4 @@
-"""The listener: accepts client connections up to a limit and closes those that time out."""
+"""The listener: accepts client connections up to a limit and closes connections that time out."""
 
 from __future__ import annotations
 
@@ -10,16 +10,19 @@
 from quota_gateway.network.commands import CommandParser
 from quota_gateway.network.socket_poll import has_unread_bytes, peer_closed
 
-IDLE_TIMEOUT_S = 5.0  # for a connection between requests ...
-CROWDED_IDLE_TIMEOUT_S = 2.0  # ... and while more than half of the places are taken
-REAP_INTERVAL_S = 0.25
-DISCONNECT_POLL_S = 0.05  # a request must not be forwarded 0.1 s after its client has disconnected
-MAX_REFUSED_CONNECTIONS = 16  # beyond the limit, that get an error; further ones are aborted without one
+IDLE_TIMEOUT_S = 5.0  # time that a connection may stay idle between requests
+CROWDED_IDLE_TIMEOUT_S = 2.0  # idle timeout while more than half of the allowed connections are open
+REAP_INTERVAL_S = 0.25  # time between two searches for connections that have timed out
+DISCONNECT_POLL_S = 0.05  # no request may be forwarded later than 0.1 s after its client has disconnected
+MAX_REFUSED_CONNECTIONS = 16  # connections beyond the limit that get an error; more are aborted without one
 ACCEPT_BACKLOG = 512
 
 
 class Listener:
-    """Accepts client connections on one address and owns them."""
+    """Accepts client connections on one address and owns them.
+
+    Up to `max_refused` connections beyond `max_connections` are held until they have received an error.
+    """
 
     def __init__(
         self,
@@ -35,24 +38,24 @@
         self.max_connections = max_connections
         self.max_refused = max_refused
         self.connections: set[ClientConnection] = set()
-        self.open_request_ids: set[bytes] = set()  # of requests in flight, over all connections
+        self.open_request_ids: set[bytes] = set()  # ids of the requests in flight on all connections
         self.server: asyncio.Server | None = None
-        self.draining = False  # connections are closed as soon as they are between requests
-        self._unread: set[ClientConnection] = set()  # connections whose reading is paused
-        self._disconnect_timer: asyncio.TimerHandle | None = None  # runs while there are any
+        self.draining = False  # while set, connections are closed once they are between requests
+        self._paused_connections: set[ClientConnection] = set()  # connections whose reading is paused
+        self._disconnect_timer: asyncio.TimerHandle | None = None  # set while connections are paused
         self._reap_timer = loop.call_later(REAP_INTERVAL_S, self._reap)
 
     async def start(self, host: str, port: int) -> None:
-        """Listen on this address only. Raises `OSError` if it can't be bound."""
+        """Listen on the given address. Raises `OSError` if it can't be bound."""
         self.server = await self.loop.create_server(
             lambda: ClientConnection(self), host, port, backlog=ACCEPT_BACKLOG
         )
 
     def drain(self) -> None:
-        """Accept no new connections, and close the others as soon as they are between requests.
+        """Stop accepting connections, and close open connections once they are between requests.
 
-        Commands that still arrive on them until then are served. A connection without a command so far stays
-        open: it was made for a request that is still to come.
+        Commands that arrive on them before that are served. A connection that has not sent a command yet
+        stays open, because its client probably connected to send a request.
         """
         self.draining = True
         if self.server is not None:
@@ -61,7 +64,7 @@
             connection.flush()
 
     def close(self) -> None:
-        """Close everything at the end of the process; written replies still leave."""
+        """Close all connections at the end of the process; replies already written are still sent."""
         self._reap_timer.cancel()
         if self._disconnect_timer is not None:
             self._disconnect_timer.cancel()
@@ -70,14 +73,14 @@
                 connection.transport.close()
 
     def add(self, connection: ClientConnection) -> None:
-        """Admit a new connection.
+        """Accept a new connection.
 
-        At the limit another one is evicted for it; if none can be, the new one is refused.
+        At the limit, another connection is evicted for it, or the new one is refused if none can be evicted.
         """
         if len(self.connections) >= self.max_connections:
             evicted = self.eviction_candidate()
             if evicted is not None and evicted.transport is not None:
-                # Forgotten at once, so that the next connection of this iteration evicts another one.
+                # Removed at once, so that the next connection in this loop iteration evicts another one.
                 self.connections.discard(evicted)
                 evicted.transport.abort()
             elif len(self.connections) < self.max_connections + self.max_refused:
@@ -88,11 +91,11 @@
         self.connections.add(connection)
 
     def eviction_candidate(self) -> ClientConnection | None:
-        """Return the connection to evict, or None.
+        """Return the connection to evict for a new one, or None.
 
-        Half-closed ones go first, then those that never sent a command, then the longest idle. One with
-        unread data is spared, since that may be a request: many clients that connect within one iteration
-        would otherwise evict whoever has just sent one.
+        Half-closed connections are evicted first, then those that never sent a command, then the longest
+        idle. A connection with unread data is spared, since the data may be a request: many clients that
+        connect within one loop iteration could otherwise evict a client that has just sent one.
         """
         candidates = [c for c in self.connections if c.half_closed_at is not None or c.is_idle()]
         candidates.sort(key=lambda c: (c.half_closed_at is None, c.has_sent_command, c.last_activity))
@@ -104,32 +107,35 @@
         return None
 
     def discard(self, connection: ClientConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a connection that is closed."""
         self.connections.discard(connection)
-        self._unread.discard(connection)
+        self._paused_connections.discard(connection)
 
-    def watch_for_disconnect(self, connection: ClientConnection) -> None:
-        """Poll a connection that is not read, since nothing else would report its disconnect."""
-        self._unread.add(connection)
+    def start_disconnect_poll(self, connection: ClientConnection) -> None:
+        """Poll a connection whose reading is paused: the event loop does not report its disconnect."""
+        self._paused_connections.add(connection)
         if self._disconnect_timer is None:
             self._disconnect_timer = self.loop.call_later(DISCONNECT_POLL_S, self._abort_disconnected)
 
-    def unwatch(self, connection: ClientConnection) -> None:
-        """Stop polling a connection, which is read again."""
-        self._unread.discard(connection)
+    def stop_disconnect_poll(self, connection: ClientConnection) -> None:
+        """Stop polling a connection whose reading is resumed."""
+        self._paused_connections.discard(connection)
 
     def _abort_disconnected(self) -> None:
-        """Abort connections that are not read and whose clients have disconnected."""
+        """Abort paused connections whose clients have disconnected; schedules its next run."""
         self._disconnect_timer = None
-        if self._unread:
+        if self._paused_connections:
             self._disconnect_timer = self.loop.call_later(DISCONNECT_POLL_S, self._abort_disconnected)
-        for connection in list(self._unread):
+        for connection in list(self._paused_connections):
             if connection.transport is not None and peer_closed(connection.transport):
                 connection.transport.abort()
                 connection.cancel_requests()
 
     def _reap(self) -> None:
-        """Close timed-out connections; one timer for all is cheaper than one for each."""
+        """Close the connections that have timed out; schedules its next run.
+
+        One timer for all connections is cheaper than one for each.
+        """
         self._reap_timer = self.loop.call_later(REAP_INTERVAL_S, self._reap)
         now = self.loop.time()
         crowded = 2 * len(self.connections) > self.max_connections
--- a/quota_gateway/network/socket_poll.py
+++ b/quota_gateway/network/socket_poll.py
@@ -1,7 +1,7 @@
-"""What the kernel already knows about a connection and the event loop has not reported yet.
+"""Polls sockets for input and disconnects that the event loop has not reported yet.
 
-The loop reports data and disconnects once per iteration. A decision taken within an iteration ("is this
-connection still idle?") can therefore be out of date; these functions ask the kernel at that very moment.
+The event loop reports input and disconnects once per iteration. Between two iterations its view of a
+connection can be out of date, for example on whether the connection is idle. These functions ask the kernel.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 
 
 def has_unread_bytes(transport: asyncio.Transport) -> bool:
-    """Tell whether data, or the peer's end of stream, waits in the kernel. False on a closing transport."""
+    """Tell whether data or the peer's end of stream waits in the kernel; False for a closing transport."""
     return _poll_now(transport, select.POLLIN)
 
 
 def peer_closed(transport: asyncio.Transport) -> bool:
-    """Tell whether the peer has closed its side, even with unread data before the end of stream.
+    """Tell whether the peer has closed its side, even if unread data precedes the end of the stream.
 
-    False on a closing transport.
+    Returns False for a closing transport.
     """
     return _poll_now(transport, select.POLLRDHUP)
 
--- a/tests/network/test_client_connection.py
+++ b/tests/network/test_client_connection.py
@@ -1,4 +1,4 @@
-"""Client connections over loopback sockets: protocol errors, bounds, flow control, order of replies."""
+"""Client connections over loopback sockets: protocol errors, limits, flow control, order of replies."""
 
 from __future__ import annotations
 
@@ -26,14 +26,15 @@
 def test_a_client_with_many_errors_gets_each_and_is_closed() -> None:
     async def scenario() -> None:
         async with running_gateway(always_reply(OK_RESPONSE), policy=forwarding_policy()) as gateway:
-            client, other = await gateway.connect_client(), await gateway.connect_client()
+            client = await gateway.connect_client()
+            other = await gateway.connect_client()
             client.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
             for _ in range(500):
                 client.send(b"NOPE")
             assert await client.read_reply() == b"value"
             for _ in range(MAX_COMMAND_ERRORS):
                 assert "unknown command" in str(await client.read_reply())
-            assert await client.read_reply() is None  # not a reset, which could have lost the errors
+            assert await client.read_reply() is None  # a regular close: a reset could lose the errors
             assert await other.execute(b"CALL.GET", CUSTOMER, b"2", READ_FIELDS) == b"value"
 
     run_scenario(scenario())
@@ -47,7 +48,7 @@
             (connection,) = gateway.listener.connections
             connection.parser.feed(b"*1\r\n$4\r\nPING\r\n" * 50)
             connection.process_commands()
-            # Read before the loop's next iteration processes more.
+            # The next iteration of the event loop processes more.
             assert connection.parser.buffered_bytes() == 14 * (50 - MAX_COMMANDS_PER_ITERATION)
             assert [await client.read_reply() for _ in range(50)] == [b"PONG"] * 50
 
@@ -58,7 +59,8 @@
     async def scenario() -> None:
         release = asyncio.Event()
         async with running_gateway(reply_once_released(release), policy=forwarding_policy()) as gateway:
-            first, second = await gateway.connect_client(), await gateway.connect_client()
+            first = await gateway.connect_client()
+            second = await gateway.connect_client()
             first.send(b"CALL.GET", CUSTOMER, REQUEST_ID, READ_FIELDS)
             await wait_until(lambda: len(gateway.servers[0].received_commands()) == 1)
             assert "in use" in str(await second.execute(b"CALL.GET", CUSTOMER, REQUEST_ID, READ_FIELDS))
@@ -70,7 +72,7 @@
             first.send(b"CALL.GET", CUSTOMER, REQUEST_ID, READ_FIELDS)
             await wait_until(lambda: gateway.listener.open_request_ids)
             first.writer.close()
-            await wait_until(lambda: not gateway.listener.open_request_ids)  # the client disconnected
+            await wait_until(lambda: not gateway.listener.open_request_ids)  # the disconnect releases the id
             release.set()
 
     run_scenario(scenario())
@@ -107,7 +109,7 @@
                 assert "Protocol error" in str(await client.read_reply())
                 assert await client.read_reply() is None
             except ConnectionResetError:
-                pass  # the gateway closed with input unread, which resets the connection
+                pass  # closing a socket with unread input resets the connection
             await wait_until(lambda: not gateway.listener.connections)
             other = await gateway.connect_client()
             assert await other.execute(b"PING") == b"PONG"
@@ -116,7 +118,7 @@
 
 
 def test_commands_beyond_the_pending_limit_wait_and_are_served() -> None:
-    """A client that sends more than may be pending is not read for a while, and loses nothing."""
+    """Commands beyond `MAX_PENDING_REPLIES` stay buffered until earlier replies are sent."""
 
     async def scenario() -> None:
         release = asyncio.Event()
@@ -141,17 +143,17 @@
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             await wait_until(lambda: gateway.listener.connections)
             (connection,) = gateway.listener.connections
-            word = b"x" * 60_000
-            while not connection.reading_paused:  # it pauses only once the read buffer is full
-                client.send(b"PING", word)
+            payload = b"x" * 60_000
+            while not connection.reading_paused:  # reading pauses once the read buffer is full
+                client.send(b"PING", payload)
                 await asyncio.sleep(0)
             assert connection.write_buffer_full
             assert connection.transport is not None
-            assert connection.parser.buffered_bytes() < 2 * READ_BUFFER_BYTES + len(word)
+            assert connection.parser.buffered_bytes() < 2 * READ_BUFFER_BYTES + len(payload)
             assert connection.transport.get_write_buffer_size() < 8_000_000
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             while connection.write_buffer_full:
-                assert await client.read_reply() == word
+                assert await client.read_reply() == payload
 
     run_scenario(scenario())
 
@@ -182,8 +184,8 @@
         script = forwarding_policy()
         async with running_gateway(reply, policy=script) as gateway:
             client = await gateway.connect_client()
-            for name in (b"1", b"2", b"3"):
-                client.send(b"CALL.GET", CUSTOMER, name, READ_FIELDS)
+            for request_id in (b"1", b"2", b"3"):
+                client.send(b"CALL.GET", CUSTOMER, request_id, READ_FIELDS)
             client.send(b"PING")
             await wait_until(lambda: len(script.events_of(AttemptCompleted)) == 2)
             release.set()
@@ -193,7 +195,7 @@
 
 
 def test_a_request_that_crosses_the_close_of_an_idle_connection_is_served() -> None:
-    """The request lies unread in the kernel when the connection would be closed as idle."""
+    """The request waits unread in the kernel at the moment when the connection is closed as idle."""
 
     async def scenario() -> None:
         async with running_gateway(always_reply(OK_RESPONSE), policy=forwarding_policy()) as gateway:
@@ -202,7 +204,7 @@
                 await wait_until(lambda: gateway.listener.connections)
                 (connection,) = gateway.listener.connections
                 client.send(ENCODED_REQUEST)
-                connection.close_if_nothing_unread()  # in the same iteration of the loop
+                connection.close_if_nothing_unread()  # the event loop has not read the request yet
                 loop = asyncio.get_running_loop()
                 assert await loop.sock_recv(client, 65536) == b"$5\r\nvalue\r\n"
                 assert connection.state is ConnectionState.OPEN
--- a/tests/network/test_client_disconnect.py
+++ b/tests/network/test_client_disconnect.py
@@ -1,6 +1,6 @@
-"""Clients that disconnect while their requests wait: what was not written by then is not sent any more.
+"""Clients that disconnect while their requests wait: requests not yet written are not sent any more.
 
-Each crossing is forced: a peer holds what the request waits for until the client has gone, then releases it.
+Each race is forced: a peer withholds what the request waits for until the client has disconnected.
 """
 
 from __future__ import annotations
@@ -42,33 +42,36 @@
     run_scenario(scenario())
 
 
-@pytest.mark.parametrize("body", [0, 20_000])
-def test_buffered_commands_of_a_disconnected_client_are_not_served(body: int) -> None:
-    """The end of the stream lies behind more commands than may be pending, or than are read."""
+@pytest.mark.parametrize("body_bytes", [0, 20_000])
+def test_buffered_commands_of_a_disconnected_client_are_not_served(body_bytes: int) -> None:
+    """The end of the stream follows more commands than may be pending, or more bytes than are read."""
 
     async def scenario() -> None:
         release = asyncio.Event()
         async with running_gateway(reply_once_released(release), policy=forwarding_policy()) as gateway:
             client = await gateway.connect_client()
             for number in range(MAX_PENDING_REPLIES + 8):
-                extra = (b"x" * body,) if body and number >= MAX_PENDING_REPLIES else ()
-                client.send(b"CALL.GET", CUSTOMER, b"%d" % number, READ_FIELDS, *extra)
+                body = (b"x" * body_bytes,) if body_bytes and number >= MAX_PENDING_REPLIES else ()
+                client.send(b"CALL.GET", CUSTOMER, b"%d" % number, READ_FIELDS, *body)
             await wait_until(lambda: len(gateway.bridge.in_flight) == MAX_PENDING_REPLIES)
             (connection,) = gateway.listener.connections
-            await wait_until(lambda: connection.reading_paused or not body)
+            await wait_until(lambda: connection.reading_paused or not body_bytes)
             client.writer.close()
             await wait_until(lambda: not gateway.bridge.in_flight)
             release.set()
             await wait_until(lambda: not gateway.bridge.attempts)
             assert len(gateway.servers[0].received_commands()) <= MAX_PENDING_REPLIES
-            assert DISCONNECT_POLL_S <= 0.05  # nothing is forwarded 0.1 s later
+            assert DISCONNECT_POLL_S <= 0.05  # nothing may be forwarded 0.1 s after the disconnect
 
     run_scenario(scenario())
 
 
 @contextmanager
 def server_with_full_backlog() -> Iterator[socket.socket]:
-    """A server to which no connection is established until the one that fills its backlog is accepted."""
+    """Yield a listening socket whose backlog is full.
+
+    No further connection to it is established until the connection that fills the backlog is accepted.
+    """
     with socket.socket() as server, socket.socket() as filler:
         server.bind(("127.0.0.1", 0))
         server.listen(0)
@@ -78,15 +81,15 @@
 
 
 async def read_second_connection(server: socket.socket) -> bytes:
-    """Accept the connection that fills the backlog and the next one; return all that arrives on that."""
+    """Accept the backlogged connection and a second one; return all bytes received on the second."""
     loop = asyncio.get_running_loop()
     first, _ = await loop.sock_accept(server)
     second, _ = await loop.sock_accept(server)
     data = b""
     with first, second:
         second.setblocking(False)
-        while more := await loop.sock_recv(second, 65536):
-            data += more
+        while received := await loop.sock_recv(second, 65536):
+            data += received
     return data
 
 
@@ -115,16 +118,16 @@
 
 
 def test_end_of_stream_cancels_the_requests_of_a_client_that_does_not_read() -> None:
-    """The connection closes only once the written replies have left; the requests must not wait for that."""
+    """The connection closes only once its replies are sent; cancelling the requests must not wait for it."""
 
     async def scenario() -> None:
-        big = b"*3\r\n$60000\r\n%b\r\n*-1\r\n*-1\r\n" % (b"x" * 60_000)
+        large_response = b"*3\r\n$60000\r\n%b\r\n*-1\r\n*-1\r\n" % (b"x" * 60_000)
         release = asyncio.Event()
 
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
             if words[2] == b"last":
                 await release.wait()
-            return big
+            return large_response
 
         async with running_gateway(reply, policy=forwarding_policy()) as gateway:
             with socket.create_connection(("127.0.0.1", gateway.port)) as client:
@@ -135,19 +138,19 @@
                 connection.transport.get_extra_info("socket").setsockopt(
                     socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
                 )
-                ids = [b"%d" % number for number in range(60)]
-                packed = b""
-                for request_id in [*ids, b"last"]:
+                request_ids = [b"%d" % number for number in range(60)]
+                encoded_commands = b""
+                for request_id in [*request_ids, b"last"]:
                     words = (b"CALL.GET", CUSTOMER, request_id, READ_FIELDS)
-                    packed += hiredis.pack_command(words)  # type: ignore[arg-type]
-                client.send(packed)
+                    encoded_commands += hiredis.pack_command(words)  # type: ignore[arg-type]
+                client.send(encoded_commands)
                 await wait_until(lambda: connection.write_buffer_full and len(gateway.bridge.in_flight) == 1)
                 (request,) = gateway.bridge.in_flight.values()
                 client.shutdown(socket.SHUT_WR)
                 await wait_until(lambda: not gateway.bridge.in_flight)
                 now = asyncio.get_running_loop().time()
-                assert now < request.deadline - 5.0  # it was not the deadline that ended it
-                assert connection.transport is not None  # written replies may still leave
+                assert now < request.deadline - 5.0  # the request was not ended by its deadline
+                assert connection.transport is not None  # written replies may still be sent
                 release.set()
 
     run_scenario(scenario())
--- a/tests/network/test_listener.py
+++ b/tests/network/test_listener.py
@@ -1,4 +1,4 @@
-"""The listener over loopback sockets: timeouts, the limit of connections, eviction."""
+"""The listener over loopback sockets: timeouts, the connection limit, eviction."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
             assert "did not come" in str(await partial.read_reply())
             assert await partial.read_reply() is None
             assert await idle.closed_by_gateway()
-            assert len(gateway.bridge.in_flight) == 1  # a connection with a request in flight is not idle
+            assert len(gateway.bridge.in_flight) == 1  # the connection with a request in flight is not idle
 
     for name in ("FIRST_COMMAND_TIMEOUT_S", "PARTIAL_COMMAND_TIMEOUT_S"):
         monkeypatch.setattr(client_connection, name, 0.2)
@@ -54,7 +54,8 @@
     async def scenario() -> None:
         async with running_gateway(always_reply(None), max_sockets=64) as gateway:
             gateway.listener.max_connections = 2
-            busy, idle = await gateway.connect_client(), await gateway.connect_client()
+            busy = await gateway.connect_client()
+            idle = await gateway.connect_client()
             assert await idle.execute(b"PING") == b"PONG"
             busy.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
             await wait_until(lambda: gateway.bridge.in_flight)
@@ -70,7 +71,7 @@
 
 
 def test_a_connection_with_an_unread_request_is_not_evicted() -> None:
-    """Many clients that connect within one loop iteration must not evict whoever has just sent a request."""
+    """Clients that connect within one loop iteration must not evict a client that has just sent a request."""
 
     async def scenario() -> None:
         async with running_gateway(always_reply(OK_RESPONSE), policy=forwarding_policy()) as gateway:
@@ -80,7 +81,7 @@
                 (connection,) = gateway.listener.connections
                 assert gateway.listener.eviction_candidate() is connection
                 client.send(ENCODED_REQUEST)
-                assert gateway.listener.eviction_candidate() is None  # in the same iteration of the loop
+                assert gateway.listener.eviction_candidate() is None  # the event loop has not read it yet
                 assert await asyncio.get_running_loop().sock_recv(client, 65536) == b"$5\r\nvalue\r\n"
 
     run_scenario(scenario())
