--- a/quota_gateway/network/client_connection.py
+++ b/quota_gateway/network/client_connection.py
@@ -32,16 +32,16 @@
 
 log = logging.getLogger("quota_gateway")
 
-MAX_PENDING_REPLIES = 64  # at this number, further commands stay in the buffer
+MAX_PENDING_REPLIES = 64  # limit per connection; further commands stay in the buffer
 MAX_COMMANDS_PER_ITERATION = 16  # bounds the time that other connections wait for the event loop
-MAX_COMMAND_ERRORS = 8  # then the connection is closed: invalid commands take time from other clients
+MAX_COMMAND_ERRORS = 8  # limit per connection: invalid commands take processing time from other clients
 FIRST_COMMAND_TIMEOUT_S = 2.0  # time that a new connection may stay silent
 PARTIAL_COMMAND_TIMEOUT_S = 2.0  # time between the beginning and the end of a command
 UNREAD_REPLIES_TIMEOUT_S = 30.0  # time for which a client may leave its replies unread
 LINGER_TIMEOUT_S = 0.5  # time for the client to read an error and close; its input is discarded
 MAX_DISCARDED_BYTES = 4 * 1024 * 1024  # input discarded before the connection is aborted
 WRITE_BUFFER_BYTES = 256 * 1024  # unread replies beyond this size stop the processing of commands
-READ_BUFFER_BYTES = 64 * 1024  # from this size of unprocessed commands on, reading may pause
+READ_BUFFER_BYTES = 64 * 1024  # unprocessed commands of this size pause reading
 
 
 class ConnectionState(Enum):
@@ -49,8 +49,8 @@
 
     OPEN = auto()  # commands are processed
     CLOSING = auto()  # commands are no longer processed; pending replies are still sent
-    CLOSING_AFTER_ERROR = auto()  # like CLOSING, and the client gets time to read the final error
-    HALF_CLOSED = auto()  # all replies are written; the client's close is awaited
+    CLOSING_AFTER_ERROR = auto()  # no more commands; the client gets time to read the final error
+    HALF_CLOSED = auto()  # all replies are written, our side is closed; the client's close is awaited
     CLOSED = auto()  # the transport is closed
 
 
@@ -321,7 +321,7 @@
             self.transport.resume_reading()
             self.owner.stop_disconnect_poll(self)
 
-    # --- closing the connection ----------------------------------------------------------------------------
+    # --- closing the connection --------------------------------------------------------------------------
 
     def is_idle(self) -> bool:
         """Tell whether the connection is open and between requests."""
@@ -375,7 +375,7 @@
             self.state = state
 
     def _half_close(self) -> None:
-        """Close the write side once all replies are written.
+        """Close the connection once all replies are written; after an error, close its write side first.
 
         Closing a socket with unread input resets the connection, and the client could lose the error that was
         just written. After an error, input is therefore read and discarded until the client closes.
--- a/quota_gateway/network/commands.py
+++ b/quota_gateway/network/commands.py
@@ -1,12 +1,20 @@
-"""Client commands. A request is validated completely before any of it reaches a quota or a server.
+"""Parsing and validation of client commands.
 
-`CALL.GET` and `CALL.POST` take a customer id, a request id, a comma-separated list of `name=value` fields and
-an optional body:
+A request is validated completely before it counts against a quota or is sent to a server. `CALL.GET` and
+`CALL.POST` take a customer id, a request id, a comma-separated list of `name=value` fields and an optional
+body:
 
     CALL.POST 00000000b4d65521 9b1f03aa5c7e2d41 c=order,t=basic,d=480,k=5c0f6e1a2b3d4c59 BODY
 
-The fields are `c` class, `t` plan, `d` time left in milliseconds, `k` idempotency key, `units` quota units,
-`spread` number of gateways that the customer's requests come through, `first` the first of these gateways.
+The fields are:
+
+    c       class of the request
+    t       plan of the customer
+    d       time left until the client's deadline, in milliseconds
+    k       idempotency key
+    units   quota units that the request uses
+    spread  number of gateways through which the customer's requests come
+    first   index of the first of these gateways
 """
 
 from __future__ import annotations
@@ -19,17 +27,17 @@
 from quota_gateway.network import resp
 from quota_gateway.settings import Idempotency, Settings
 
-READ_VERB = b"CALL.GET"  # requests that are idempotent by nature
-WRITE_VERB = b"CALL.POST"
+READ_VERB = b"CALL.GET"  # requests of idempotent classes
+WRITE_VERB = b"CALL.POST"  # requests of all other classes
 REQUEST_VERBS = (READ_VERB, WRITE_VERB)
 QUIT_VERB = b"QUIT"
-MAX_ECHOED_VERB_BYTES = 64  # of an unknown command, in the error about it
+MAX_ECHOED_VERB_BYTES = 64  # limit on the part of an unknown verb that its error repeats
 
 MAX_FIELDS_BYTES = 512
-MAX_CUSTOMER = 1 << 33  # customer ids are below this
-MIN_TIME_LEFT_MS = 1.0
+CUSTOMER_ID_BOUND = 1 << 33  # exclusive upper bound
+MIN_TIME_LEFT_MS = 1.0  # requests with less time left are invalid
 
-_CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
+_CUSTOMER_ID = re.compile(rb"[0-9a-fA-F]{16}")
 _TOKEN = re.compile(rb"[!-~]{1,64}")  # request ids and idempotency keys: printable ASCII without a space
 _DECIMAL = re.compile(rb"[0-9]{1,12}(\.[0-9]{1,9})?")
 _INTEGER = re.compile(rb"[0-9]{1,6}")
@@ -38,20 +46,20 @@
 
 
 class CommandError(ValueError):
-    """A well-formed command that can't be served. Its text is sent to the client."""
+    """A well-formed RESP command with invalid content. The text is sent to the client in the error reply."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """The most that one request may ask for."""
+    """Limits on the units and the deadline of one request."""
 
-    max_units: float
+    max_units: float  # requests that ask for more are invalid
     max_time_left_ms: float  # longer deadlines are shortened to this, so that no request is held for minutes
 
 
 @dataclass(slots=True)
 class RequestCommand:
-    """A parsed request command, with the parts from which it is encoded again for a server."""
+    """A parsed request command, with the encoded parts from which the command for a server is built."""
 
     request_id: bytes
     class_name: str
@@ -60,12 +68,12 @@
     time_left_ms: float
     units: float
     customer_gateways: int
-    encoded_head: bytes  # array header, verb, customer and request id
-    fields_around_time: tuple[bytes, bytes]  # the field list up to and with "d=", and after its number
-    encoded_body: bytes  # empty without a body
+    encoded_head: bytes  # array header, verb, customer id and request id
+    fields_around_time: tuple[bytes, bytes]  # the field list before and after the number of `d`
+    encoded_body: bytes  # empty if the command has no body
 
     def encode(self, time_left_ms: int) -> bytes:
-        """Encode the client's command for a server, unchanged but for the time left."""
+        """Encode the client's command for a server, unchanged except for the time left."""
         fields = b"%b%d%b" % (self.fields_around_time[0], time_left_ms, self.fields_around_time[1])
         return b"%b%b%b" % (self.encoded_head, resp.encode_bulk(fields), self.encoded_body)
 
@@ -99,18 +107,19 @@
             request_id=request_id,
             class_name=class_name,
             plan=_lookup(self.plans, fields, b"t", "plan"),
-            # All gateways must use one spelling: accounting windows and counter keys derive from it.
+            # All gateways must use the same spelling: accounting windows and counter keys derive from it.
             customer=customer.lower().decode(),
             time_left_ms=min(time_left_ms, self.limits.max_time_left_ms),
             units=units,
             customer_gateways=customer_gateways,
-            encoded_head=b"*%d\r\n%b" % (len(words), b"".join([resp.encode_bulk(w) for w in words[:3]])),
+            encoded_head=b"*%d\r\n%b"
+            % (len(words), b"".join([resp.encode_bulk(word) for word in words[:3]])),
             fields_around_time=fields_around_time,
             encoded_body=resp.encode_bulk(words[4]) if len(words) == 5 else b"",
         )
 
     def _class_name(self, verb: bytes, fields: dict[bytes, bytes]) -> str:
-        """Return the name of the request's class, once verb and idempotency key fit it."""
+        """Return the name of the request's class after checking that verb and idempotency key suit it."""
         class_name, idempotency = _lookup(self.classes, fields, b"c", "class")
         if (idempotency is Idempotency.IDEMPOTENT) != (verb == READ_VERB):
             raise CommandError("this class goes by the other command")
@@ -126,9 +135,9 @@
 
 
 def answer_connection_command(verb: bytes, words: list[bytes]) -> bytes:
-    """Return the encoded reply to a command that is no request. Raises `CommandError` for an unknown one.
+    """Return the encoded reply to a command that is not a request; raises `CommandError`.
 
-    `CLIENT` and `SELECT` are accepted without effect, for the sake of client libraries that send them.
+    `CLIENT` and `SELECT` are accepted without effect, because client libraries send them.
     """
     if verb == b"PING":
         if len(words) > 2:
@@ -140,14 +149,14 @@
 
 
 def _check_identifiers(customer: bytes, request_id: bytes) -> None:
-    if _CUSTOMER.fullmatch(customer) is None or int(customer, 16) >= MAX_CUSTOMER:
+    if _CUSTOMER_ID.fullmatch(customer) is None or int(customer, 16) >= CUSTOMER_ID_BOUND:
         raise CommandError("bad customer")
     if _TOKEN.fullmatch(request_id) is None:
         raise CommandError("bad request id")
 
 
 def _split_fields(text: bytes) -> tuple[dict[bytes, bytes], tuple[bytes, bytes]]:
-    """Return the fields by name, and the list's text before and after the number of `d`."""
+    """Return the fields by name, and the text of the list before and after the number of field `d`."""
     if len(text) > MAX_FIELDS_BYTES:
         raise CommandError("bad fields")
     fields: dict[bytes, bytes] = {}
@@ -167,7 +176,7 @@
 
 
 def _lookup(table: Mapping[bytes, _Value], fields: dict[bytes, bytes], name: bytes, kind: str) -> _Value:
-    """Return the entry of `table` that the field names; `kind` says in an error what it should be."""
+    """Return the entry of `table` that the field refers to; `kind` describes the entries in the error."""
     try:
         return table[fields[name]]
     except KeyError:
@@ -175,7 +184,7 @@
 
 
 def _decimal(fields: dict[bytes, bytes], name: bytes, maximum: float, default: bytes) -> float:
-    """Return a non-negative number. `float` alone would accept `nan`, `1_0`, `1e9` and white space."""
+    """Return a number from 0 to `maximum`; `float` alone accepts `nan`, `1_0`, `1e9` and white space."""
     text = fields.get(name, default)
     if _DECIMAL.fullmatch(text) is None or float(text) > maximum:
         raise CommandError(f"bad number for {name.decode()}")
@@ -183,7 +192,7 @@
 
 
 def _integer(fields: dict[bytes, bytes], name: bytes, minimum: int, maximum: int, default: int) -> int:
-    """Return an integer in its range, or the default if the field is absent."""
+    """Return an integer from `minimum` to `maximum`, or `default` if the field is absent."""
     text = fields.get(name)
     if text is None:
         return default
--- a/tests/network/gateway_fixture.py
+++ b/tests/network/gateway_fixture.py
@@ -1,4 +1,4 @@
-"""A gateway under test on loopback sockets, between scripted peers."""
+"""Runs a gateway under test on loopback sockets, with scripted peers."""
 
 from __future__ import annotations
 
@@ -15,9 +15,7 @@
 from quota_gateway.network.server_pool import ServerPools
 from quota_gateway.policy_api.actions import Action, Fail, StartAttempt
 from quota_gateway.policy_api.events import AttemptCompleted, Event, Request
-from tests.network.samples import (
-    SETTINGS,
-)
+from tests.network.samples import SETTINGS
 from tests.network.scenario import wait_until
 from tests.network.scripted_peers import (
     Reply,
@@ -33,32 +31,35 @@
 
 
 class ScriptedPolicy:
-    """A policy made by a test: `decide` turns each event into actions. All events are kept."""
+    """A policy whose decisions a test supplies: `decide` maps each event to actions.
+
+    `events` records all events.
+    """
 
     def __init__(self, decide: Callable[[Event], list[Action]]) -> None:
         self.decide = decide
         self.events: list[Event] = []
-        self.inside = False
+        self.handling = False
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        assert not self.inside, "the policy was called from within a call"
-        self.inside = True
+        assert not self.handling, "nested call of the policy"
+        self.handling = True
         self.events.append(event)
         try:
             return self.decide(event)
         finally:
-            self.inside = False
+            self.handling = False
 
     def events_of(self, kind: type[E]) -> list[E]:
         return [event for event in self.events if isinstance(event, kind)]
 
 
-def forward_to(server: str, timeout_ms: float = 0.0) -> Callable[[Event], list[Action]]:
-    """Decide to send each request once to one server, and to fail it if that does not succeed."""
+def forward_to(server_id: str, timeout_ms: float = 0.0) -> Callable[[Event], list[Action]]:
+    """Return a `decide` function that sends each request to one server and fails it if the attempt fails."""
 
     def decide(event: Event) -> list[Action]:
         if isinstance(event, Request):
-            return [StartAttempt(event.request_id, server, timeout_ms)]
+            return [StartAttempt(event.request_id, server_id, timeout_ms)]
         if isinstance(event, AttemptCompleted) and not event.request_completed:
             return [Fail(event.request_id)]
         return []
@@ -66,18 +67,20 @@
     return decide
 
 
-def forwarding_policy(server: str = "s0") -> ScriptedPolicy:
-    """Return a policy that sends each request once to one server."""
-    return ScriptedPolicy(forward_to(server))
+def forwarding_policy(server_id: str = "s0") -> ScriptedPolicy:
+    """Return a policy that sends each request to one server, without retries."""
+    return ScriptedPolicy(forward_to(server_id))
 
 
 class RunningGateway:
-    """A gateway with its fake peers."""
+    """A running gateway and its scripted peers."""
 
     def __init__(
         self, process: GatewayProcess, servers: list[ScriptedRespServer], counter: ScriptedRespServer
     ) -> None:
-        self.process, self.servers, self.counter = process, servers, counter
+        self.process = process
+        self.servers = servers
+        self.counter = counter
 
     @property
     def port(self) -> int:
@@ -101,13 +104,15 @@
         return await RespClient.connect(self.port)
 
 
-def raw_config(discovery: int, counter: int, rows: list[dict[str, Any]], listen: int = 1) -> dict[str, Any]:
-    """Return a configuration as the platform writes it."""
+def raw_config(
+    discovery_port: int, counter_port: int, rows: list[dict[str, Any]], listen_port: int = 1
+) -> dict[str, Any]:
+    """Return a configuration as decoded from JSON, with `rows` as its cached endpoint list."""
     return {
         "name": "n0",
-        "listen": f"127.0.0.1:{listen}",
-        "discovery": f"127.0.0.1:{discovery}",
-        "counter": f"127.0.0.1:{counter}",
+        "listen": f"127.0.0.1:{listen_port}",
+        "discovery": f"127.0.0.1:{discovery_port}",
+        "counter": f"127.0.0.1:{counter_port}",
         "seed": "8c1f30d27a5be964",
         "settings": SETTINGS,
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -115,9 +120,11 @@
     }
 
 
-def gateway_config(discovery: int, counter: int, rows: list[dict[str, Any]], **changes: Any) -> GatewayConfig:
-    """Return the same, decoded, with changes; the gateway listens on a free port."""
-    decoded = decode_config(raw_config(discovery, counter, rows), {})
+def gateway_config(
+    discovery_port: int, counter_port: int, rows: list[dict[str, Any]], **changes: Any
+) -> GatewayConfig:
+    """Return a decoded configuration with the fields in `changes`; the gateway listens on a free port."""
+    decoded = decode_config(raw_config(discovery_port, counter_port, rows), {})
     return replace(decoded, listen_address=("127.0.0.1", 0), **changes)
 
 
@@ -129,9 +136,10 @@
     discovery: ScriptedDiscovery | None = None,
     **changes: Any,
 ) -> AsyncIterator[RunningGateway]:
-    """Run a gateway that is ready, with servers s0, s1, ..., one for each reply.
+    """Run a gateway that is ready to serve, with one server for each of `replies`, named s0, s1, ...
 
-    `changes` are fields of `GatewayConfig`.
+    The gateway's own policy is replaced by `policy`, if given. By default the counter works and discovery
+    lists all servers. `changes` are fields of `GatewayConfig`.
     """
     totals: dict[bytes, float] = {}
 
@@ -160,5 +168,5 @@
     finally:
         await process.close()
         peers: list[ScriptedPeer] = [*servers, counter_server, discovery]
-        for fake in peers:
-            await fake.stop()
+        for scripted_peer in peers:
+            await scripted_peer.stop()
--- a/tests/network/samples.py
+++ b/tests/network/samples.py
@@ -1,4 +1,4 @@
-"""Requests, responses and settings that many tests use."""
+"""Requests, responses and settings that the network tests share."""
 
 from __future__ import annotations
 
@@ -6,16 +6,12 @@
 
 CUSTOMER = b"00000000b4d65521"
 
-
+# Field lists of requests, one for each class in `SETTINGS`.
 READ_FIELDS = b"c=read,t=basic,d=20000,units=2,spread=2,first=1"
-
-
 ORDER_FIELDS = b"c=order,t=basic,d=20000,k=5c0f6e1a2b3d4c59"
-
-
 CHARGE_FIELDS = b"c=charge,t=basic,d=20000"
 
-
+# Settings of a gateway, as decoded from JSON.
 SETTINGS: dict[str, Any] = {
     "my_zone": "a",
     "balancers": 2,
@@ -45,12 +41,12 @@
     "safety": {"cold_from": 0.25, "warm_after_ms": 18000.0, "drain_grace_ms": 250.0},
 }
 
-
+# A `CALL.GET` command of class `read` with request id 9.
 ENCODED_REQUEST = b"*4\r\n$8\r\nCALL.GET\r\n$16\r\n%b\r\n$1\r\n9\r\n$%d\r\n%b\r\n" % (
     CUSTOMER,
     len(READ_FIELDS),
     READ_FIELDS,
 )
 
-
+# A server's response: value, null usage figures and load report.
 OK_RESPONSE = b"*3\r\n$5\r\nvalue\r\n*-1\r\n$20\r\ninflight=7,queue=2.5\r\n"
--- a/tests/network/scenario.py
+++ b/tests/network/scenario.py
@@ -1,4 +1,4 @@
-"""Runs the scenario of a test in an event loop; waits are for conditions, never for a time to pass."""
+"""Runs test scenarios in an event loop. Scenarios wait for conditions instead of fixed times."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 def run_scenario(scenario: Coroutine[Any, Any, None]) -> None:
-    """Run a scenario on uvloop, as the gateway does; the timeout only keeps a broken test from hanging."""
+    """Run a scenario on uvloop, as the gateway does. The timeout only keeps a failing test from hanging."""
     uvloop.run(asyncio.wait_for(scenario, 60.0))
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Wait until a condition holds."""
+    """Wait until the condition is true, without a timeout of its own."""
     while not condition():
         await asyncio.sleep(0.002)
--- a/tests/network/scripted_peers.py
+++ b/tests/network/scripted_peers.py
@@ -1,4 +1,4 @@
-"""Peers of a gateway on loopback sockets, which do just what a test tells them to."""
+"""Peers of a gateway on loopback sockets, whose replies each test defines."""
 
 from __future__ import annotations
 
@@ -9,14 +9,12 @@
 
 import hiredis
 
-from tests.network.samples import (
-    OK_RESPONSE,
-)
+from tests.network.samples import OK_RESPONSE
 from tests.network.scenario import wait_until
 
 
 class ScriptedPeer:
-    """A TCP server on loopback; subclasses implement `serve`, which handles one connection."""
+    """A TCP server on the loopback interface; subclasses implement `serve`, which handles one connection."""
 
     def __init__(self) -> None:
         self.server: asyncio.Server | None = None
@@ -55,13 +53,16 @@
             yield words
 
 
+# A function that returns the encoded reply to a command, or None to send no reply. Its arguments are the
+# words of the command and the writer of the connection.
 Reply = Callable[[list[bytes], asyncio.StreamWriter], Awaitable[bytes | None]]
 
 
 class ScriptedRespServer(ScriptedPeer):
-    """Answers each command with what `reply` returns; None leaves it unanswered.
+    """A RESP server that replies to each command with what `reply` returns; None leaves it unanswered.
 
-    `log` holds "command" and "closed" events in order, each with the number of its connection, from 1.
+    `log` lists ("command", connection number, words) and ("closed", connection number, []) in order of time.
+    Connections are numbered from 1.
     """
 
     def __init__(self, reply: Reply) -> None:
@@ -81,12 +82,12 @@
             self.log.append(("closed", number, []))
 
     def received_commands(self) -> list[list[bytes]]:
-        """Return the commands received, without pings."""
-        return [words for what, _, words in self.log if what == "command" and words != [b"PING"]]
+        """Return the commands received, except PING."""
+        return [words for event, _, words in self.log if event == "command" and words != [b"PING"]]
 
 
 def always_reply(reply: bytes | None) -> Reply:
-    """Reply the same to every command."""
+    """Return a function that gives the same reply to every command."""
 
     async def constant_reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
         return reply
@@ -95,7 +96,7 @@
 
 
 def reply_once_released(release: asyncio.Event) -> Reply:
-    """Reply to every command with an OK response, once the event is set."""
+    """Return a function that replies to every command with an OK response once `release` is set."""
 
     async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
         await release.wait()
@@ -105,13 +106,16 @@
 
 
 class ScriptedDiscovery(ScriptedPeer):
-    """Discovery: each request gets the next of `responses`, or waits until a test appends it."""
+    """A discovery server that sends `responses` in order; a request waits until its response is appended.
+
+    `targets` lists the paths of the requests, `request_times` the event loop times at which they arrived.
+    """
 
     def __init__(self, *responses: bytes) -> None:
         super().__init__()
         self.responses = list(responses)
         self.targets: list[str] = []
-        self.request_times: list[float] = []  # of the loop
+        self.request_times: list[float] = []
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while head := await reader.readuntil(b"\r\n\r\n"):
@@ -130,9 +134,10 @@
     return http_response(json.dumps({"version": version, "full": full, "servers": rows}).encode())
 
 
-def server_row(server: str, port: int, state: str = "Ready", started_ms: float = 0.0) -> dict[str, Any]:
+def server_row(server_id: str, port: int, state: str = "Ready", started_ms: float = 0.0) -> dict[str, Any]:
+    """Return the row of a server in discovery's endpoint list."""
     return {
-        "id": server,
+        "id": server_id,
         "addr": f"127.0.0.1:{port}",
         "zone": "a",
         "kind": "m",
@@ -144,10 +149,11 @@
 
 
 class RespClient:
-    """A client's connection to a RESP server."""
+    """A RESP client with one connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer = reader, writer
+        self.reader = reader
+        self.writer = writer
         self.parser = hiredis.Reader()
 
     @classmethod
@@ -158,7 +164,7 @@
         self.writer.write(hiredis.pack_command(words))  # type: ignore[arg-type]
 
     async def read_reply(self) -> Any:
-        """Return the next reply; None at the end of the stream."""
+        """Return the next reply, or None at the end of the stream."""
         while (reply := self.parser.gets()) is False:
             data = await self.reader.read(65536)
             if not data:
@@ -171,7 +177,7 @@
         return await self.read_reply()
 
     async def closed_by_gateway(self) -> bool:
-        """Tell whether the gateway closes the connection without sending anything more."""
+        """Wait for the next bytes; return whether the gateway closed the connection without sending any."""
         try:
             return not await self.reader.read(1)
         except ConnectionError:
--- a/tests/network/test_commands.py
+++ b/tests/network/test_commands.py
@@ -5,9 +5,7 @@
 import pytest
 
 from quota_gateway.network import client_connection
-from quota_gateway.policy_api.events import (
-    Request,
-)
+from quota_gateway.policy_api.events import Request
 from tests.network.gateway_fixture import forwarding_policy, running_gateway
 from tests.network.samples import CHARGE_FIELDS, CUSTOMER, OK_RESPONSE, READ_FIELDS
 from tests.network.scenario import run_scenario
@@ -72,7 +70,7 @@
             assert await client.execute(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS) == b"value"
             assert len(gateway.servers[0].received_commands()) == 1
 
-    monkeypatch.setattr(client_connection, "MAX_COMMAND_ERRORS", 1000)
+    monkeypatch.setattr(client_connection, "MAX_COMMAND_ERRORS", 1000)  # keeps the connection open
     run_scenario(scenario())
 
 
--- a/tests/network/test_server_pool.py
+++ b/tests/network/test_server_pool.py
@@ -9,10 +9,7 @@
 import pytest
 
 from quota_gateway.network.server_pool import MIN_REUSE_DELAY_S, idle_limit_s
-from quota_gateway.policy_api.events import (
-    AttemptCompleted,
-    CallOutcome,
-)
+from quota_gateway.policy_api.events import AttemptCompleted, CallOutcome
 from tests.network.gateway_fixture import forwarding_policy, running_gateway
 from tests.network.samples import CUSTOMER, OK_RESPONSE, READ_FIELDS
 from tests.network.scenario import run_scenario, wait_until
