--- a/quota_gateway/network/client_connection.py
+++ b/quota_gateway/network/client_connection.py
@@ -39,9 +39,9 @@
 PARTIAL_COMMAND_TIMEOUT_S = 2.0  # time between the beginning and the end of a command
 UNREAD_REPLIES_TIMEOUT_S = 30.0  # time for which a client may leave its replies unread
 LINGER_TIMEOUT_S = 0.5  # time for the client to read an error and close; its input is discarded
-MAX_DISCARDED_BYTES = 4 * 1024 * 1024  # input discarded before the connection is aborted
+MAX_DISCARDED_BYTES = 4 * 1024 * 1024  # limit on discarded input, beyond which the connection is aborted
 WRITE_BUFFER_BYTES = 256 * 1024  # unread replies beyond this size stop the processing of commands
-READ_BUFFER_BYTES = 64 * 1024  # unprocessed commands of this size pause reading
+READ_BUFFER_BYTES = 64 * 1024  # size of the unprocessed commands at which reading pauses
 
 
 class ConnectionState(Enum):
@@ -55,7 +55,7 @@
 
 
 class Processing(Enum):
-    """The state of processing the buffered commands."""
+    """The processing state of the buffered commands."""
 
     NONE = auto()
     SCHEDULED = auto()  # the next iteration of the event loop processes the buffered commands
@@ -96,7 +96,7 @@
         "owner",
         "parser",
         "partial_command_since",
-        "pending",
+        "pending_replies",
         "processing",
         "reading_paused",
         "state",
@@ -109,7 +109,7 @@
         self.parser = resp.Parser()
         self.transport: asyncio.Transport | None = None
         self.state = ConnectionState.OPEN
-        self.pending: deque[PendingReply] = deque()
+        self.pending_replies: deque[PendingReply] = deque()
         # Flow control, independent of `state`.
         self.processing = Processing.NONE
         self.write_buffer_full = False  # set while the client does not read its replies
@@ -204,7 +204,7 @@
         return (
             self.state is ConnectionState.OPEN
             and not self.write_buffer_full
-            and len(self.pending) < MAX_PENDING_REPLIES
+            and len(self.pending_replies) < MAX_PENDING_REPLIES
         )
 
     def _schedule_processing(self) -> None:
@@ -221,7 +221,7 @@
         if not is_command(message):
             raise resp.ProtocolError("expected an array of bulk strings")
         pending = PendingReply(self.owner.open_request_ids, self.flush)
-        self.pending.append(pending)
+        self.pending_replies.append(pending)
         try:
             self._execute(pending, message)
         except CommandError as error:
@@ -263,7 +263,7 @@
     def cancel_requests(self) -> None:
         """Cancel the requests in flight and drop the pending replies, after the client has disconnected."""
         self._begin_closing(ConnectionState.CLOSING)
-        abandoned, self.pending = self.pending, deque()
+        abandoned, self.pending_replies = self.pending_replies, deque()
         for pending in abandoned:
             pending.release_request_id()
             request, pending.request = pending.request, None
@@ -280,18 +280,18 @@
         """
         if self.transport is None or self.processing is Processing.RUNNING:
             return
-        ready: list[bytes] = []
-        while self.pending and self.pending[0].reply is not None:
-            ready.append(self.pending.popleft().reply or b"")
-        if ready:
+        ready_replies: list[bytes] = []
+        while self.pending_replies and self.pending_replies[0].reply is not None:
+            ready_replies.append(self.pending_replies.popleft().reply or b"")
+        if ready_replies:
             self.last_activity = self.owner.loop.time()
-            self.transport.write(b"".join(ready))
+            self.transport.write(b"".join(ready_replies))
         if self.owner.draining and self.has_sent_command and self.is_idle():
             self.close_if_nothing_unread()
-        if self.state is not ConnectionState.OPEN and not self.pending:
+        if self.state is not ConnectionState.OPEN and not self.pending_replies:
             self._half_close()
             return
-        if ready and self.parser.buffered_bytes() and self._is_open_and_writable():
+        if ready_replies and self.parser.buffered_bytes() and self._is_open_and_writable():
             self._schedule_processing()
         self._update_reading()
 
@@ -307,7 +307,7 @@
         processing_blocked = (
             self.processing is Processing.SCHEDULED
             or self.write_buffer_full
-            or len(self.pending) >= MAX_PENDING_REPLIES
+            or len(self.pending_replies) >= MAX_PENDING_REPLIES
         )
         buffer_full = self.parser.buffered_bytes() >= READ_BUFFER_BYTES
         pause = processing_blocked and self.state is ConnectionState.OPEN and buffer_full
@@ -325,7 +325,11 @@
 
     def is_idle(self) -> bool:
         """Tell whether the connection is open and between requests."""
-        return not self.pending and self.state is ConnectionState.OPEN and not self.parser.buffered_bytes()
+        return (
+            not self.pending_replies
+            and self.state is ConnectionState.OPEN
+            and not self.parser.buffered_bytes()
+        )
 
     def close_if_nothing_unread(self) -> None:
         """Close, unless unread data in the kernel may hold a request, which would be lost."""
@@ -337,7 +341,7 @@
         """Send a protocol error after the pending replies, then close."""
         pending = PendingReply(self.owner.open_request_ids, self.flush)
         pending.reply = resp.encode_error(f"Protocol error: {error}")
-        self.pending.append(pending)
+        self.pending_replies.append(pending)
         self._begin_closing(ConnectionState.CLOSING_AFTER_ERROR)
         self.flush()
 
@@ -356,7 +360,7 @@
         elif self.write_buffer_full:
             if inactive_s > UNREAD_REPLIES_TIMEOUT_S:
                 self.transport.abort()
-        elif self.pending or self.state is not ConnectionState.OPEN:
+        elif self.pending_replies or self.state is not ConnectionState.OPEN:
             return
         elif self._partial_command_timed_out(now):
             self.close_with_error(resp.ProtocolError("the end of a command did not come"))
@@ -366,8 +370,8 @@
                 self.close_if_nothing_unread()
 
     def _partial_command_timed_out(self, now: float) -> bool:
-        since = self.partial_command_since
-        return since is not None and now - since > PARTIAL_COMMAND_TIMEOUT_S
+        begun_at = self.partial_command_since
+        return begun_at is not None and now - begun_at > PARTIAL_COMMAND_TIMEOUT_S
 
     def _begin_closing(self, state: ConnectionState) -> None:
         """Stop processing commands; does nothing if the connection is already closing."""
@@ -396,5 +400,5 @@
         """Count discarded input; beyond `MAX_DISCARDED_BYTES`, abort a connection without pending replies."""
         self.discarded_bytes += byte_count
         limit_exceeded = self.discarded_bytes > MAX_DISCARDED_BYTES
-        if limit_exceeded and not self.pending and self.transport is not None:
+        if limit_exceeded and not self.pending_replies and self.transport is not None:
             self.transport.abort()
--- a/quota_gateway/network/commands.py
+++ b/quota_gateway/network/commands.py
@@ -64,10 +64,10 @@
     request_id: bytes
     class_name: str
     plan: str
-    customer: str
+    customer: str  # customer id in lower-case hexadecimal
     time_left_ms: float
     units: float
-    customer_gateways: int
+    customer_gateways: int  # number of gateways through which the customer's requests come
     encoded_head: bytes  # array header, verb, customer id and request id
     fields_around_time: tuple[bytes, bytes]  # the field list before and after the number of `d`
     encoded_body: bytes  # empty if the command has no body
@@ -91,9 +91,9 @@
         """Validate a command whose verb is one of `REQUEST_VERBS`. Raises `CommandError`."""
         if not 4 <= len(words) <= 5:
             raise CommandError("wrong number of arguments")
-        customer, request_id, text = words[1:4]
+        customer, request_id, field_list = words[1:4]
         _check_identifiers(customer, request_id)
-        fields, fields_around_time = _split_fields(text)
+        fields, fields_around_time = _split_fields(field_list)
         class_name = self._class_name(words[0].upper(), fields)
         customer_gateways = _integer(fields, b"spread", 1, self.gateway_count, 1)
         _integer(fields, b"first", 0, self.gateway_count - 1, 0)
@@ -123,8 +123,8 @@
         class_name, idempotency = _lookup(self.classes, fields, b"c", "class")
         if (idempotency is Idempotency.IDEMPOTENT) != (verb == READ_VERB):
             raise CommandError("this class goes by the other command")
-        key_expected = b"k" in fields or idempotency is Idempotency.KEYED
-        if key_expected and _TOKEN.fullmatch(fields.get(b"k", b"")) is None:
+        key_must_be_valid = b"k" in fields or idempotency is Idempotency.KEYED
+        if key_must_be_valid and _TOKEN.fullmatch(fields.get(b"k", b"")) is None:
             raise CommandError("no idempotency key")
         return class_name
 
@@ -155,20 +155,20 @@
         raise CommandError("bad request id")
 
 
-def _split_fields(text: bytes) -> tuple[dict[bytes, bytes], tuple[bytes, bytes]]:
+def _split_fields(field_list: bytes) -> tuple[dict[bytes, bytes], tuple[bytes, bytes]]:
     """Return the fields by name, and the text of the list before and after the number of field `d`."""
-    if len(text) > MAX_FIELDS_BYTES:
+    if len(field_list) > MAX_FIELDS_BYTES:
         raise CommandError("bad fields")
     fields: dict[bytes, bytes] = {}
     around_time: tuple[bytes, bytes] | None = None
     position = 0
-    for field in text.split(b","):
+    for field in field_list.split(b","):
         name, equals, value = field.partition(b"=")
         if not equals or not name or name in fields:
             raise CommandError("bad fields")
         fields[name] = value
         if name == b"d":
-            around_time = text[: position + 2], text[position + len(field) :]
+            around_time = field_list[: position + 2], field_list[position + len(field) :]
         position += len(field) + 1
     if around_time is None:
         raise CommandError("no time left given")
--- a/quota_gateway/network/server_pool.py
+++ b/quota_gateway/network/server_pool.py
@@ -13,7 +13,7 @@
 from quota_gateway.network.server_connection import ServerConnection
 from quota_gateway.network.socket_poll import has_unread_bytes
 
-DRAIN_MARGIN_S = 0.05  # writes end this long before the drain grace, so that none arrives after it
+DRAIN_MARGIN_S = 0.05  # writes end this long before the drain grace does, so that none arrives after it
 IDLE_MARGIN_S = 2.0  # idle connections are closed this long before the server's idle timeout
 EXPIRY_INTERVAL_S = 1.0  # time between two searches for connections past the idle limit
 MIN_REUSE_DELAY_S = 0.03  # least time between a response and the next request: see `acquire`
@@ -139,7 +139,7 @@
                 self._retire(pool)
             self.pools[server_id] = ServerPool(self, address)
         elif restarted:
-            pool.close_idle()  # they lead to the server's previous process
+            pool.close_idle()  # idle connections lead to the server's previous process
 
     def drain(self, server_id: str) -> None:
         """Stop sending requests to a server after the drain grace period; requests in flight may finish."""
--- a/tests/network/test_graceful_shutdown.py
+++ b/tests/network/test_graceful_shutdown.py
@@ -49,7 +49,7 @@
             client.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
             await wait_until(lambda: len(gateway.servers[0].received_commands()) == 1)
             gateway.bridge.shut_down()
-            assert str(await client.read_reply()) == "ERR failed"  # it may have run
+            assert str(await client.read_reply()) == "ERR failed"  # the request may have run
             assert str(await other.execute(b"CALL.GET", CUSTOMER, b"2", READ_FIELDS)) == "BUSY"
             assert len(gateway.servers[0].received_commands()) == 1
             assert not gateway.bridge.in_flight
--- a/tests/network/test_server_connection.py
+++ b/tests/network/test_server_connection.py
@@ -31,9 +31,8 @@
                 assert value == b"%04d" % number
             assert len(gateway.servers[0].writers) == 8
 
-    monkeypatch.setattr(
-        server_pool, "MIN_REUSE_DELAY_S", 30.0
-    )  # no connection is reused during the test, however slow the machine
+    # No connection is reused during the test, however slow the machine.
+    monkeypatch.setattr(server_pool, "MIN_REUSE_DELAY_S", 30.0)
     run_scenario(scenario())
 
 
