--- a/quota_gateway/network/attempt.py
+++ b/quota_gateway/network/attempt.py
@@ -65,7 +65,7 @@
         self.encode = encode
         self.on_complete = on_complete
         self.started_at = pool.owner.loop.time()
-        self.deadline = self.started_at + timeout_s
+        self.deadline = self.started_at + timeout_s  # event loop time
         self.state = AttemptState.CONNECTING
         self.result: AttemptResult | None = None  # set in CLOSING, reported in COMPLETED
         self.connection: ServerConnection | None = None
@@ -80,7 +80,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the request is written and not completed: the server may have run it or may yet do so."""
+        """Whether the request is written and the attempt not completed: the server may run or have run it."""
         return self.state is AttemptState.SENT or self.state is AttemptState.CLOSING
 
     def start(self) -> None:
--- a/tests/network/gateway_fixture.py
+++ b/tests/network/gateway_fixture.py
@@ -27,7 +27,7 @@
     server_row,
 )
 
-E = TypeVar("E", bound=Event)
+EventT = TypeVar("EventT", bound=Event)
 
 
 class ScriptedPolicy:
@@ -50,7 +50,7 @@
         finally:
             self.handling = False
 
-    def events_of(self, kind: type[E]) -> list[E]:
+    def events_of(self, kind: type[EventT]) -> list[EventT]:
         return [event for event in self.events if isinstance(event, kind)]
 
 
--- a/tests/network/scripted_peers.py
+++ b/tests/network/scripted_peers.py
@@ -71,15 +71,15 @@
         self.log: list[tuple[str, int, list[bytes]]] = []
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        number = len(self.writers)
+        connection_number = len(self.writers)
         try:
             async for words in read_commands(reader):
-                self.log.append(("command", number, words))
+                self.log.append(("command", connection_number, words))
                 reply = await self.reply(words, writer)
                 if reply is not None:
                     writer.write(reply)
         finally:
-            self.log.append(("closed", number, []))
+            self.log.append(("closed", connection_number, []))
 
     def received_commands(self) -> list[list[bytes]]:
         """Return the commands received, except PING."""
@@ -108,7 +108,7 @@
 class ScriptedDiscovery(ScriptedPeer):
     """A discovery server that sends `responses` in order; a request waits until its response is appended.
 
-    `targets` lists the paths of the requests, `request_times` the event loop times at which they arrived.
+    `targets` lists the path and query of each request, `request_times` its arrival in event loop time.
     """
 
     def __init__(self, *responses: bytes) -> None:
@@ -121,9 +121,9 @@
         while head := await reader.readuntil(b"\r\n\r\n"):
             self.targets.append(head.split(b" ")[1].decode())
             self.request_times.append(asyncio.get_running_loop().time())
-            number = len(self.targets) - 1
-            await wait_until(lambda: len(self.responses) > number)  # noqa: B023  # awaited in this iteration
-            writer.write(self.responses[number])
+            index = len(self.targets) - 1
+            await wait_until(lambda: len(self.responses) > index)  # noqa: B023  # awaited in this iteration
+            writer.write(self.responses[index])
 
 
 def http_response(body: bytes, status: str = "200 OK") -> bytes:
--- a/tests/network/test_descriptors.py
+++ b/tests/network/test_descriptors.py
@@ -31,8 +31,8 @@
 
     def __init__(self, port: int) -> None:
         self.port = port
-        self.accepted = 0
-        self.closed = 0
+        self.accepted = 0  # connections established so far
+        self.closed = 0  # connections closed or refused so far
         self.tasks: list[asyncio.Task[None]] = []
 
     def connect(self, count: int) -> None:
@@ -124,9 +124,9 @@
             assert [await client.read_reply() for _ in range(request_count)] == [b"value"] * request_count
             idle_clients.cancel()
             process.terminate()
-            _, err = await process.communicate()
-            assert b"Too many open files" not in err
-            assert b"Traceback" not in err
+            _, error_output = await process.communicate()
+            assert b"Too many open files" not in error_output
+            assert b"Traceback" not in error_output
         await peers.stop()
 
     run_scenario(scenario())
