--- a/quota_gateway/network/bridge.py
+++ b/quota_gateway/network/bridge.py
@@ -83,9 +83,9 @@
         self.clock = Clock()
         self.policy = policy
         self.server_pools = server_pools
-        self.counter = counter  # without one, every increment completes as UNREACHABLE
-        self.in_flight: dict[str, InFlightRequest] = {}  # keyed by policy request id
-        self.attempts: dict[tuple[str, int], Attempt] = {}  # in flight, keyed by request id and number
+        self.counter = counter  # None: every increment completes as UNREACHABLE
+        self.in_flight: dict[str, InFlightRequest] = {}  # requests by policy request id
+        self.attempts: dict[tuple[str, int], Attempt] = {}  # attempts in flight by request id and number
         self.started_ms: dict[str, float] = {}  # last start (Unix time) by server id
         self.shutting_down = False  # new requests are rejected on arrival
         self._request_count = 0
@@ -147,7 +147,7 @@
         self.in_flight[request_id] = request
         request.deadline_timer = self.loop.call_at(deadline, self.close_request, request_id)
         if self.shutting_down:
-            self._reject(request_id, 0.0)  # without Retry-After: another gateway can serve it at once
+            self._reject(request_id, 0.0)  # no Retry-After: another gateway can serve it at once
             return request
         self.post_event(
             Request(
--- a/quota_gateway/network/listener.py
+++ b/quota_gateway/network/listener.py
@@ -15,7 +15,7 @@
 REAP_INTERVAL_S = 0.25  # time between two searches for connections that have timed out
 DISCONNECT_POLL_S = 0.05  # no request may be forwarded later than 0.1 s after its client has disconnected
 MAX_REFUSED_CONNECTIONS = 16  # connections beyond the limit that get an error; more are aborted without one
-ACCEPT_BACKLOG = 512
+ACCEPT_BACKLOG = 512  # connections that the kernel queues until they are accepted
 
 
 class Listener:
