--- a/quota_gateway/network/address.py
+++ b/quota_gateway/network/address.py
@@ -1,17 +1,19 @@
-"""Addresses of TCP peers, as configuration and endpoint lists write them."""
+"""Parsing of the TCP addresses in the configuration and in endpoint lists."""
 
 from __future__ import annotations
 
-Address = tuple[str, int]  # host and port, in the form that asyncio takes
+Address = tuple[str, int]  # host and port, as asyncio's connect and listen functions expect them
+
+MAX_PORT = 65535
 
 
 class AddressError(ValueError):
-    """A text that is not `host:port`."""
+    """An address that is not of the form `host:port`."""
 
 
 def parse_address(text: object) -> Address:
     """Parse `host:port` with a port from 1 to 65535; raises `AddressError`."""
     host, colon, port = str(text).rpartition(":")
-    if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise AddressError(f"not an address (host:port): {text!r}")
+    if not colon or not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
+        raise AddressError(f"expected host:port with a port from 1 to {MAX_PORT}, got {text!r}")
     return host, int(port)
--- a/quota_gateway/network/clock.py
+++ b/quota_gateway/network/clock.py
@@ -1,4 +1,4 @@
-"""The policy's clock."""
+"""The clock that the policy reads."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 class Clock:
     """Unix time in milliseconds that never goes backwards.
 
-    The wall clock is read once, at construction; the monotonic clock carries it on.
+    The wall clock is read only at construction; from then on the time advances with the monotonic clock, so
+    that adjustments of the wall clock don't affect it.
     """
 
     def __init__(self) -> None:
         self._offset_ms = time.time() * 1000.0 - time.monotonic() * 1000.0
 
     def now_ms(self) -> float:
-        """Return the present time."""
+        """Return the current time in milliseconds since the Unix epoch."""
         return self._offset_ms + time.monotonic() * 1000.0
--- a/quota_gateway/network/discovery/__init__.py
+++ b/quota_gateway/network/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The client of the discovery service: watch, poll schedule, HTTP connection, endpoint list."""
+"""Client of the discovery service: endpoint watch, poll schedule, HTTP connection, endpoint list parsers."""
--- a/tests/network/test_endpoint_list.py
+++ b/tests/network/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Both parsers of the endpoint list; a long one is parsed and applied in steps, between other work."""
+"""Both parsers of the endpoint list; a long list is parsed and applied in steps between other work."""
 
 from __future__ import annotations
 
@@ -84,18 +84,20 @@
 
 
 def test_requests_are_served_while_a_long_list_is_parsed_and_applied() -> None:
-    """It takes 0.1 s to parse and as long to apply; the loop runs in between, at least once a step."""
+    """A long list takes 0.1 s to parse and as long to apply: the event loop must run after each step."""
 
     async def scenario() -> None:
-        many = [*server_rows(ENDPOINT_COUNT), server_row("s0", 80)]
-        body = json.dumps({"version": 9, "full": True, "servers": many}).encode()
+        rows = [*server_rows(ENDPOINT_COUNT), server_row("s0", 80)]
+        body = json.dumps({"version": 9, "full": True, "servers": rows}).encode()
         assert len(body) > INCREMENTAL_PARSE_MIN_BYTES
         discovery = ScriptedDiscovery()
         script = ScriptedPolicy(forward_to("s0"))
         async with running_gateway(always_reply(OK_RESPONSE), policy=script, discovery=discovery) as gateway:
-            many[-1] = server_row("s0", gateway.servers[0].port)
+            rows[-1] = server_row("s0", gateway.servers[0].port)
             client = await gateway.connect_client()
-            server_pools, iterations, served = gateway.server_pools, 0, []
+            server_pools = gateway.server_pools
+            iterations = 0
+            pools_at_replies = []
 
             async def count_iterations() -> None:
                 nonlocal iterations
@@ -107,16 +109,17 @@
                 for number in itertools.count():
                     reply = await client.execute(b"CALL.GET", CUSTOMER, b"%d" % number, READ_FIELDS)
                     assert reply == b"value"
-                    served.append(len(server_pools.pools))
+                    pools_at_replies.append(len(server_pools.pools))
 
             tasks = [asyncio.ensure_future(count_iterations()), asyncio.ensure_future(send_requests())]
-            await wait_until(lambda: served)
-            before = iterations
-            discovery.responses.append(endpoint_list_response(9, many))
-            active = sum(server["state"] == "Ready" for server in many)
+            await wait_until(lambda: pools_at_replies)
+            iterations_before = iterations
+            discovery.responses.append(endpoint_list_response(9, rows))
+            active = sum(row["state"] == "Ready" for row in rows)
             await wait_until(lambda: len(server_pools.pools) >= active)
-            assert iterations - before >= 2 * ENDPOINT_COUNT // ENDPOINTS_PER_STEP
-            assert any(1 < pools < active for pools in served)  # a request was served in the middle of it
+            assert iterations - iterations_before >= 2 * ENDPOINT_COUNT // ENDPOINTS_PER_STEP
+            # At least one request was served while the list was being applied.
+            assert any(1 < pools < active for pools in pools_at_replies)
             updates = script.events_of(EndpointUpdate)
             assert max(len(update.endpoints) for update in updates) <= ENDPOINTS_PER_STEP
             for task in tasks:
@@ -135,13 +138,19 @@
 @pytest.mark.parametrize(
     ("text", "problem"),
     [
-        ("[]", "no '{' at 0"),
-        ('{"full":true,"servers":[]}', "missing key 'version'"),
-        ('{"version":1,"servers":[]}', "missing key 'full'"),
-        ('{"version":1,"full":true}', "missing key 'servers'"),
-        ('{"version":1,"full":true,"servers":[{"zone":"a"}]}', "missing key 'id'"),
-        ('{"version":1,"full":true,"servers":[{"id":"a","state":"Ready"}]}', "no address for a"),
-        ('{"version":1,"full":true,"servers":[]}x', "text after the list"),
+        ("[]", "expected '{' at character 0"),
+        ('{"full":true,"servers":[]}', "missing key 'version' in the endpoint list"),
+        ('{"version":1,"servers":[]}', "missing key 'full' in the endpoint list"),
+        ('{"version":1,"full":true}', "missing key 'servers' in the endpoint list"),
+        ('{"version":1,"full":true,"servers":[{"zone":"a"}]}', "missing key 'id' in the endpoint list"),
+        (
+            '{"version":1,"full":true,"servers":[{"id":"a","state":"Ready"}]}',
+            "server 'a' is active but has no 'addr'",
+        ),
+        (
+            '{"version":1,"full":true,"servers":[]}x',
+            "unexpected text after the endpoint list at character 38",
+        ),
     ],
 )
 def test_an_error_says_what_was_wrong(text: str, problem: str) -> None:
