--- a/quota_gateway/network/discovery/http_connection.py
+++ b/quota_gateway/network/discovery/http_connection.py
@@ -1,4 +1,4 @@
-"""A client's HTTP/1.1 connection: one GET at a time, each response handed over complete."""
+"""The client side of an HTTP/1.1 connection: one GET request at a time, complete responses."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 
 import h11
 
-MAX_BODY_BYTES = 16 * 1024 * 1024  # a list of 20,000 servers takes 2.6 MB, indented twice that
+MAX_BODY_BYTES = 16 * 1024 * 1024  # an endpoint list of 20,000 servers takes 2.6 MB, and 5.2 MB indented
 
 
 class HttpConnection(asyncio.Protocol):
-    """The protocol of one connection.
+    """The asyncio protocol of one connection.
 
-    `on_response` gets status and body of each response; `on_closed` is called once the connection is lost,
-    also after `abort`. A peer that breaks the protocol, or sends a body over `MAX_BODY_BYTES`, ends it.
+    `on_response` receives the status and the body of each response. `on_closed` is called when the connection
+    is lost, also after `abort`. The connection is aborted if the peer violates HTTP or sends a body longer
+    than `MAX_BODY_BYTES`.
     """
 
     def __init__(self, on_response: Callable[[int, bytes], None], on_closed: Callable[[], None]) -> None:
@@ -24,16 +25,16 @@
         self._transport: asyncio.Transport | None = None
         self._body = bytearray()
         self._aborted = False
-        self.status = 0  # of the response that is being received
+        self.status = 0  # status of the response being received, or of the last one
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport; aborted before, the connection ends here."""
+        """Store the transport; abort it if `abort` was called before the connection was made."""
         self._transport = transport  # type: ignore[assignment]  # always a stream transport
         if self._aborted:
-            transport.abort()  # type: ignore[attr-defined]  # as above
+            transport.abort()  # type: ignore[attr-defined]  # always a stream transport
 
     def get(self, host: str, target: str) -> None:
-        """Send a request. Only while `is_idle`."""
+        """Send a GET request; allowed only while `is_idle()` is true."""
         assert self._transport is not None
         request = h11.Request(
             method="GET", target=target, headers=[("Host", host), ("Accept", "application/json")]
@@ -42,26 +43,26 @@
         self._transport.write(head + (self._http.send(h11.EndOfMessage()) or b""))
 
     def is_idle(self) -> bool:
-        """Return whether the connection is open and a request may be sent."""
+        """Return whether the connection is open and no request is under way on it."""
         idle = self._http.our_state is h11.IDLE
         return idle and self._transport is not None and not self._transport.is_closing()
 
     def abort(self) -> None:
-        """Close the connection at once, or as soon as it is made."""
+        """Close the connection immediately, or as soon as it has been made."""
         self._aborted = True
         if self._transport is not None:
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Parse received bytes."""
+        """Parse received bytes and report the response that they complete."""
         self._receive(data)
 
     def eof_received(self) -> None:
-        """Complete a body without a length."""
+        """Complete a response body that has no length and ends with the connection."""
         self._receive(b"")
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # the signature of asyncio.Protocol
-        """Report the end of the connection."""
+        """Call `on_closed`."""
         self._transport = None
         self._on_closed()
 
@@ -74,7 +75,7 @@
             self.abort()
 
     def _handle_next_event(self) -> bool:
-        """Handle one event of the parser; return whether to go on with the next."""
+        """Handle one parser event; return whether another event may be available."""
         event = self._http.next_event()
         match event:
             case h11.Response():
@@ -94,7 +95,8 @@
         return event is not h11.NEED_DATA and event is not h11.PAUSED
 
     def _complete_response(self) -> None:
-        status, body = self.status, bytes(self._body)
+        status = self.status
+        body = bytes(self._body)
         reusable = self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
         if reusable:
             self._http.start_next_cycle()
--- a/tests/network/test_http_connection.py
+++ b/tests/network/test_http_connection.py
@@ -1,4 +1,4 @@
-"""The HTTP connection to discovery: one response at a time, handed over complete."""
+"""The HTTP connection to discovery: requests one at a time, and complete responses."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
         return self.aborted
 
 
-class Opened:
-    """A connection that is made, and what it reported."""
+class RecordedConnection:
+    """An open connection on a fake transport; records its responses and the number of `on_closed` calls."""
 
     def __init__(self) -> None:
         self.responses: list[tuple[int, bytes]] = []
-        self.closed = 0
+        self.closed_count = 0
         self.transport = FakeTransport()
         self.connection = HttpConnection(
             lambda status, body: self.responses.append((status, body)), self.on_closed
@@ -40,32 +40,32 @@
         self.connection.connection_made(cast(asyncio.Transport, self.transport))
 
     def on_closed(self) -> None:
-        self.closed += 1
+        self.closed_count += 1
 
 
-def test_a_connection_takes_a_request_after_each_response() -> None:
-    opened = Opened()
+def test_another_request_can_be_sent_after_each_response() -> None:
+    recorded = RecordedConnection()
     for number in (1, 2):
-        assert opened.connection.is_idle()
-        opened.connection.get("10.0.0.1:80", f"/{number}")
-        assert not opened.connection.is_idle()
+        assert recorded.connection.is_idle()
+        recorded.connection.get("10.0.0.1:80", f"/{number}")
+        assert not recorded.connection.is_idle()
         response = http_response(b"%d" % number)
-        for at in range(len(response)):
-            opened.connection.data_received(response[at : at + 1])
-        assert opened.responses[-1] == (200, b"%d" % number)
-    assert opened.transport.written.startswith(b"GET /1 HTTP/1.1\r\nHost: 10.0.0.1:80\r\n")
-    assert not opened.transport.aborted
+        for index in range(len(response)):
+            recorded.connection.data_received(response[index : index + 1])
+        assert recorded.responses[-1] == (200, b"%d" % number)
+    assert recorded.transport.written.startswith(b"GET /1 HTTP/1.1\r\nHost: 10.0.0.1:80\r\n")
+    assert not recorded.transport.aborted
 
 
 def test_a_body_without_a_length_ends_with_the_connection() -> None:
-    opened = Opened()
-    opened.connection.get("h", "/")
-    opened.connection.data_received(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nab")
-    assert opened.connection.status == 200
-    assert not opened.responses
-    opened.connection.eof_received()
-    assert opened.responses == [(200, b"ab")]
-    assert opened.transport.aborted
+    recorded = RecordedConnection()
+    recorded.connection.get("h", "/")
+    recorded.connection.data_received(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nab")
+    assert recorded.connection.status == 200
+    assert not recorded.responses
+    recorded.connection.eof_received()
+    assert recorded.responses == [(200, b"ab")]
+    assert recorded.transport.aborted
 
 
 @pytest.mark.parametrize(
@@ -73,26 +73,27 @@
     [b"HTTP/1.1 what\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n123456789"],
     ids=["not HTTP", "body too long"],
 )
-def test_what_cannot_be_used_ends_the_connection(received: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_unusable_response_ends_the_connection(received: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http_connection, "MAX_BODY_BYTES", 8)
-    opened = Opened()
-    opened.connection.get("h", "/")
-    opened.connection.data_received(received)
-    assert not opened.responses
-    assert opened.transport.aborted
-    assert not opened.connection.is_idle()
+    recorded = RecordedConnection()
+    recorded.connection.get("h", "/")
+    recorded.connection.data_received(received)
+    assert not recorded.responses
+    assert recorded.transport.aborted
+    assert not recorded.connection.is_idle()
 
 
-def test_a_connection_aborted_before_it_is_made_ends_as_it_is_made() -> None:
-    connection, transport = HttpConnection(lambda status, body: None, lambda: None), FakeTransport()
+def test_a_connection_aborted_before_it_is_made_is_closed_once_it_is_made() -> None:
+    connection = HttpConnection(lambda status, body: None, lambda: None)
+    transport = FakeTransport()
     connection.abort()
     connection.connection_made(cast(asyncio.Transport, transport))
     assert transport.aborted
 
 
 def test_the_end_of_the_connection_is_reported_once() -> None:
-    opened = Opened()
-    opened.connection.abort()
-    opened.connection.connection_lost(None)
-    assert opened.closed == 1
-    assert not opened.connection.is_idle()
+    recorded = RecordedConnection()
+    recorded.connection.abort()
+    recorded.connection.connection_lost(None)
+    assert recorded.closed_count == 1
+    assert not recorded.connection.is_idle()
--- a/tests/network/test_poll_schedule.py
+++ b/tests/network/test_poll_schedule.py
@@ -1,4 +1,4 @@
-"""The schedule of polls: freshness of the list, deadline, timeouts and delays."""
+"""The poll schedule: freshness of the list, deadline, timeouts and delays."""
 
 from __future__ import annotations
 
@@ -76,16 +76,17 @@
     ("waited_s", "timeout_s"),
     [(0.0, LONG_POLL_S + RESPONSE_GRACE_S), (3.0, 3.0), (5.5, FIRST_LONG_POLL_S + RESPONSE_GRACE_S)],
 )
-def test_an_agent_gets_what_remains_until_the_deadline_after_a_failure(
+def test_the_timeout_of_an_agent_after_a_failure_is_the_time_left_until_the_deadline(
     clock: FakeClock, waited_s: float, timeout_s: float
 ) -> None:
-    agent, shared = PollSchedule(clock), PollSchedule(clock, sharing_gateways=5)
+    agent = PollSchedule(clock)
+    shared = PollSchedule(clock, sharing_gateways=5)
     clock.now += waited_s
     assert agent.response_timeout_s() == pytest.approx(timeout_s)
     assert shared.response_timeout_s() == LONG_POLL_S + RESPONSE_GRACE_S
 
 
-def test_a_poll_follows_at_once_unless_an_empty_response_came_at_once(clock: FakeClock) -> None:
+def test_the_next_poll_follows_at_once_unless_an_empty_response_came_without_a_wait(clock: FakeClock) -> None:
     schedule = PollSchedule(clock)
     assert schedule.delay_after_response_s(empty=True, duration_s=0.05) == EMPTY_RESPONSE_PAUSE_S
     assert schedule.delay_after_response_s(empty=True, duration_s=0.3) == 0.0
@@ -93,7 +94,8 @@
 
 
 def test_backoff_after_malformed_responses_grows_for_a_shared_service_only(clock: FakeClock) -> None:
-    shared, agent = PollSchedule(clock, sharing_gateways=5), PollSchedule(clock)
+    shared = PollSchedule(clock, sharing_gateways=5)
+    agent = PollSchedule(clock)
     delays = [shared.delay_after_malformed_response_s() for _ in range(9)]
     assert delays[0] <= 0.15
     assert all(0.5 * MAX_BACKOFF_S <= delay <= 1.5 * MAX_BACKOFF_S for delay in delays[4:])
