--- a/quota_gateway/network/discovery/watch.py
+++ b/quota_gateway/network/discovery/watch.py
@@ -1,9 +1,9 @@
-"""The watch on discovery's endpoint list: polls over one HTTP connection for as long as the process runs.
+"""The watch on discovery's endpoint list: long polls over one HTTP connection while the process runs.
 
-A watch continues only while the next poll follows the last response at once. After silence or a rejection it
-begins anew from the version held, on a new connection. A snapshot is requested only where no version is held
-or the response could not be parsed: a shared discovery works on every line that it sends, and snapshots
-requested again and again by all gateways would keep it too busy to answer any.
+A watch continues only while each poll follows the previous response at once. After a response timeout or a
+rejection the watch is restarted from the version held, on a new connection. A snapshot is requested only if
+no version is held or a response could not be parsed: each list entry that a shared discovery service sends
+costs it work, and if all gateways kept requesting snapshots it would be too busy to answer any of them.
 """
 
 from __future__ import annotations
@@ -24,17 +24,18 @@
 from quota_gateway.network.discovery.poll_schedule import PollSchedule
 from quota_gateway.policy_api.endpoints import UpdateKind
 
-CONNECT_TIMEOUT_S = 0.3  # the kernel sends a lost SYN again after 1 s only; a new connection is sooner
+CONNECT_TIMEOUT_S = 0.3  # a new attempt is sooner than the kernel's retransmission of a lost SYN after 1 s
 LIST_PATH = "/v1/servers"
 HTTP_OK = 200
 HTTP_SERVICE_UNAVAILABLE = 503
 
 
 class EndpointWatch:
-    """Fetches the endpoint list and watches it, on one connection at a time and with one timer.
+    """Fetches the endpoint list and watches it for changes, with one connection and one timer at a time.
 
-    `on_update` is given each update and applies it in steps: the watch exhausts what it returns, with other
-    work between the steps where the update is long. All failures are handled here, and retried.
+    `on_update` receives each update and returns the steps that apply it. The watch exhausts them; if the list
+    is long, it yields to the event loop after each step. Failed polls and connections are retried and never
+    reported to the caller.
     """
 
     def __init__(
@@ -44,29 +45,31 @@
         on_update: Callable[[VersionedUpdate], Iterable[None]],
         schedule: PollSchedule,
     ) -> None:
-        self.first_response = asyncio.Event()  # set by the first readable response
-        self.connection: HttpConnection | None = None  # events of any other are ignored
+        self.first_response = asyncio.Event()  # set after the first readable response
+        self.connection: HttpConnection | None = None  # events of earlier connections are ignored
         self._loop = loop
         self._address = address
         self._on_update = on_update
         self._schedule = schedule
-        self._version: int | None = None  # of the list held; None: a snapshot has to be requested
+        self._version: int | None = None  # version of the list held; None: the next poll requests a snapshot
         self._polled_at = 0.0
         self._connect_task: asyncio.Task[None] | None = None
         self._parse_task: asyncio.Task[None] | None = None
-        self._timer: asyncio.TimerHandle | None = None  # of the response awaited, or of the next poll
+        self._timer: asyncio.TimerHandle | None = (
+            None  # response timeout, next poll or next attempt to connect
+        )
 
     def start(self, version: int | None = None) -> None:
-        """Connect and poll for changes since `version`, by default since the version held."""
+        """Connect, then poll for changes since `version`; None stands for the version held."""
         if version is not None:
             self._version = version
         self._connect_task = self._loop.create_task(self._connect())
 
     def move_to(self, address: Address) -> None:
-        """Go on at another address.
+        """Watch discovery at another address; does nothing if the address is unchanged.
 
-        A snapshot is requested there, as versions of the old discovery mean nothing to the new one. The list
-        held stays in use until it comes.
+        The first poll there requests a snapshot, since versions of the old discovery are meaningless to the
+        new one. The list held stays in use until the snapshot arrives.
         """
         if address == self._address:
             return
@@ -77,11 +80,11 @@
         self.start()
 
     def close(self) -> None:
-        """Stop for good."""
+        """Stop the watch permanently."""
         self._stop()
 
     def poll(self) -> None:
-        """Send the next poll; a response that does not come in time ends the connection."""
+        """Send the next poll; the connection is aborted if the response does not arrive in time."""
         connection = self.connection
         if connection is None:
             return
@@ -98,7 +101,7 @@
         connection.get(f"{self._address[0]}:{self._address[1]}", target)
 
     def on_response(self, connection: HttpConnection, status: int, body: bytes) -> None:
-        """Apply a list; retry after anything else."""
+        """Apply the list in a response; retry if the response holds none."""
         if connection is not self.connection:
             return
         if status == HTTP_SERVICE_UNAVAILABLE:
@@ -111,7 +114,7 @@
             self._apply(status, body)
 
     def on_connection_closed(self, connection: HttpConnection) -> None:
-        """Reconnect after a connection that is lost or never came up."""
+        """Schedule the next attempt to connect after a connection was lost or could not be made."""
         if connection is not self.connection:
             return
         self.connection = None
@@ -134,74 +137,77 @@
     def _apply(self, status: int, body: bytes) -> None:
         try:
             if status != HTTP_OK:
-                raise EndpointListError(f"status {status}")
-            update = self._check_applicable(parse_endpoint_list(json.loads(body)))
+                raise EndpointListError(f"expected HTTP status {HTTP_OK}, got {status}")
+            versioned = self._check_applicable(parse_endpoint_list(json.loads(body)))
         except (ValueError, RecursionError):
             self._retry_with_snapshot()
             return
-        for _ in self._apply_update(update):
+        for _ in self._apply_update(versioned):
             pass
-        self._continue_from(update, confirmed_at=self._loop.time())
+        self._continue_from(versioned, confirmed_at=self._loop.time())
 
     async def _apply_in_steps(self, connection: HttpConnection, body: bytes) -> None:
-        """Parse and apply a long list, with other work between the steps."""
+        """Parse and apply a long list, yielding to the event loop after each step."""
         received_at = self._loop.time()
         parser = IncrementalListParser(body)
         try:
             for _ in parser.steps():
                 await asyncio.sleep(0)
-            update = self._check_applicable(parser.result())
+            versioned = self._check_applicable(parser.result())
         except EndpointListError:
             if connection is self.connection:
                 self._retry_with_snapshot()
             return
-        for _ in self._apply_update(update):
+        for _ in self._apply_update(versioned):
             await asyncio.sleep(0)
         if connection is self.connection:
-            # Changes that discovery got while the list was parsed are not in it.
-            self._continue_from(update, confirmed_at=received_at)
+            # The list lacks changes that discovery has received while the list was being parsed.
+            self._continue_from(versioned, confirmed_at=received_at)
         else:
-            self._version = update.version  # the next poll is under way on another connection
-
-    def _check_applicable(self, update: VersionedUpdate) -> VersionedUpdate:
-        if self._version is None and update.update.kind is not UpdateKind.SNAPSHOT:
-            raise EndpointListError("a delta, but no list to apply it to")
-        return update
-
-    def _apply_update(self, update: VersionedUpdate) -> Iterable[None]:
-        """Hand an update over, unless it changes nothing; return the steps in which it is applied."""
-        empty = not update.update.endpoints and update.update.kind is not UpdateKind.SNAPSHOT
-        if self._version is not None and empty:
+            self._version = versioned.version  # the next poll is sent on a later connection
+
+    def _check_applicable(self, versioned: VersionedUpdate) -> VersionedUpdate:
+        """Return the update; raises `EndpointListError` for a delta without a list that it could change."""
+        if self._version is None and versioned.update.kind is not UpdateKind.SNAPSHOT:
+            raise EndpointListError("expected a snapshot, got a delta without a list to apply it to")
+        return versioned
+
+    def _apply_update(self, versioned: VersionedUpdate) -> Iterable[None]:
+        """Return the steps that apply an update; none for a delta that changes nothing."""
+        is_empty_delta = not versioned.update.endpoints and versioned.update.kind is not UpdateKind.SNAPSHOT
+        if self._version is not None and is_empty_delta:
             return ()
-        return self._on_update(update)
-
-    def _continue_from(self, update: VersionedUpdate, confirmed_at: float) -> None:
-        """Poll for changes since an update that has been applied."""
-        self._version = update.version
-        empty = not update.update.endpoints
-        delay = self._schedule.delay_after_response_s(empty, self._loop.time() - self._polled_at)
+        return self._on_update(versioned)
+
+    def _continue_from(self, versioned: VersionedUpdate, confirmed_at: float) -> None:
+        """Schedule the poll for changes since an update that has been applied."""
+        self._version = versioned.version
+        has_no_endpoints = not versioned.update.endpoints
+        response_time_s = self._loop.time() - self._polled_at
+        delay_s = self._schedule.delay_after_response_s(has_no_endpoints, response_time_s)
         self._schedule.poll_succeeded(confirmed_at)
         self.first_response.set()
-        self._set_timer(delay, self.poll)
+        self._set_timer(delay_s, self.poll)
 
     def _retry_with_snapshot(self) -> None:
-        """Poll again after a response that can't be used: only the list of before is known for sure."""
+        """Request a snapshot after an unusable response: only the list before it is known for certain."""
         self._version = None
         self._retry(self._schedule.delay_after_malformed_response_s, self.poll)
 
-    def _retry(self, delay_s: Callable[[], float], action: Callable[[], None]) -> None:
-        delay = delay_s()
+    def _retry(self, compute_delay_s: Callable[[], float], action: Callable[[], None]) -> None:
+        """Record a failed poll and schedule `action` after the computed delay."""
+        delay_s = compute_delay_s()
         self._schedule.poll_failed()
-        self._set_timer(delay, action)
+        self._set_timer(delay_s, action)
 
     def _set_timer(self, delay_s: float, action: Callable[[], None]) -> None:
-        """Replace the timer."""
+        """Cancel the current timer and start another."""
         if self._timer is not None:
             self._timer.cancel()
         self._timer = self._loop.call_later(delay_s, action)
 
     def _stop(self) -> None:
-        """Drop timer, tasks and connection."""
+        """Cancel the timer and the tasks, and abort the connection."""
         if self._timer is not None:
             self._timer.cancel()
         for task in (self._connect_task, self._parse_task):
--- a/tests/network/simulated_discovery.py
+++ b/tests/network/simulated_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery on a simulated clock, whose polls end as a test says, and a real watch on it."""
+"""A discovery on a simulated clock that ends polls with scripted outcomes, and the real watch on it."""
 
 from __future__ import annotations
 
@@ -17,21 +17,23 @@
 
 
 class ScheduledCall:
-    """A call that may be cancelled."""
+    """A scheduled call; stands in for `asyncio.TimerHandle` and `asyncio.Task`."""
 
     def __init__(self, callback: Callable[..., None], args: tuple[Any, ...]) -> None:
-        self.callback, self.args, self.cancelled = callback, args, False
+        self.callback = callback
+        self.args = args
+        self.cancelled = False
 
     def cancel(self) -> None:
         self.cancelled = True
 
 
 class SimulatedLoop:
-    """A loop whose clock jumps from one scheduled call to the next."""
+    """An event loop whose clock jumps from one scheduled call to the next."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.serial = itertools.count()
+        self.serial_numbers = itertools.count()  # order of calls scheduled for the same time
         self.heap: list[tuple[float, int, ScheduledCall]] = []
 
     def time(self) -> float:
@@ -39,11 +41,11 @@
 
     def call_later(self, delay: float, callback: Callable[..., None], *args: Any) -> ScheduledCall:
         call = ScheduledCall(callback, args)
-        heapq.heappush(self.heap, (self.now + delay, next(self.serial), call))
+        heapq.heappush(self.heap, (self.now + delay, next(self.serial_numbers), call))
         return call
 
     def create_task(self, connect: Coroutine[Any, Any, None]) -> ScheduledCall:
-        connect.close()  # the test stands in for the connection: see `SimulatedWatch`
+        connect.close()  # `SimulatedWatch` connects instead
         return ScheduledCall(lambda: None, ())
 
     def run(self, until_s: float) -> None:
@@ -55,10 +57,11 @@
 
 
 class SimulatedConnection:
-    """One connection to the discovery."""
+    """A connection to the simulated discovery, in place of an `HttpConnection`."""
 
     def __init__(self, discovery: SimulatedDiscovery) -> None:
-        self.discovery, self.alive = discovery, True
+        self.discovery = discovery
+        self.alive = True
 
     def is_idle(self) -> bool:
         return self.alive
@@ -77,7 +80,7 @@
 
 
 class SimulatedWatch(EndpointWatch):
-    """The real watch, with a simulated connection in place of a socket."""
+    """The real watch, on a `SimulatedConnection` in place of a socket."""
 
     discovery: SimulatedDiscovery
 
@@ -96,9 +99,9 @@
 
 
 class SimulatedDiscovery:
-    """A discovery whose polls fail now and then, and the moments at which the list was confirmed.
+    """A discovery with scripted outcomes of polls; records the times of polls and of confirmed lists.
 
-    `outcomes` are those of the polls, in order; "good" afterwards.
+    `outcomes` holds the outcomes of the first polls in order; all later polls end with "good".
     """
 
     def __init__(self, outcomes: list[str], sharing_gateways: int, gateway_index: int) -> None:
@@ -113,7 +116,7 @@
         self.watch.start(1)
 
     def refuse_connection(self) -> bool:
-        """Whether the connection that a poll would have gone over is refused."""
+        """Return whether the next outcome is "refused", which ends a poll before it has a connection."""
         if self.outcomes[:1] != ["refused"]:
             return False
         self.outcomes.pop(0)
@@ -121,24 +124,25 @@
         return True
 
     def handle_poll(self, connection: SimulatedConnection, target: str) -> None:
-        """Ends a poll as its outcome says; "silent" is none of the cases."""
+        """End a poll with the next outcome; a poll whose outcome is "silent" gets no response."""
         self.polled_at.append(self.loop.now)
         query = parse_qs(urlsplit(target).query)
-        wait = float(query["timeout_ms"][0]) / 1000.0 if query else 0.0
+        wait_s = float(query["timeout_ms"][0]) / 1000.0 if query else 0.0
         outcome = self.outcomes.pop(0) if self.outcomes else "good"
-        later = self.loop.call_later
+        call_later = self.loop.call_later
         match outcome:
             case "good":
                 full = b"false" if query else b"true"
-                later(wait + 0.01, self.confirm, connection, b'{"version":1,"full":%b,"servers":[]}' % full)
+                body = b'{"version":1,"full":%b,"servers":[]}' % full
+                call_later(wait_s + 0.01, self.confirm, connection, body)
             case "busy":
-                later(0.004, connection.respond, 503, b"")
+                call_later(0.004, connection.respond, 503, b"")
             case "malformed":
-                later(0.004, connection.respond, 200, b"{")
+                call_later(0.004, connection.respond, 200, b"{")
             case "failing":
-                later(0.004, connection.respond, 500, b"")
-            case "reset" | "refused" | "truncated":  # a truncated body ends with the connection
-                later(0.02, connection.abort)
+                call_later(0.004, connection.respond, 500, b"")
+            case "reset" | "refused" | "truncated":  # a truncated body ends as the connection is lost
+                call_later(0.02, connection.abort)
 
     def confirm(self, connection: SimulatedConnection, body: bytes) -> None:
         if connection.alive:
--- a/tests/network/test_discovery_watch.py
+++ b/tests/network/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery: what each gateway polls and how soon, and that the list is current in time."""
+"""The watch on discovery: targets and times of its polls, and that the list is current by the deadline."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class FrozenLoop:
-    """A clock that stands still, and the delays of the calls scheduled on it."""
+    """An event loop whose clock stands still; records the delays of the scheduled calls."""
 
     def __init__(self) -> None:
         self.delays: list[float] = []
@@ -58,7 +58,7 @@
 
 
 def delays_after_rejection(gateways: int) -> list[float]:
-    """When each of the gateways polls again after all were rejected at once."""
+    """Return the delay of each gateway's next poll after all gateways were rejected at once, sorted."""
     delays = []
     for index in range(gateways):
         loop = FrozenLoop()
@@ -69,23 +69,25 @@
     return sorted(delays)
 
 
-def test_gateways_that_are_rejected_together_do_not_come_back_together() -> None:
-    # All forty came back within a second, and each second after that; no list ever got through.
+def test_gateways_that_are_rejected_together_do_not_poll_again_together() -> None:
+    # Guards against a retry storm: when all 40 gateways polled again within a second, and in each second
+    # after that, none of them ever got a list.
     delays = delays_after_rejection(40)
     assert len(delays) == 40
-    assert all(sum(at <= d < at + 1.0 for d in delays) <= 10 for at in delays)
+    assert all(sum(start <= delay < start + 1.0 for delay in delays) <= 10 for start in delays)
 
 
-def test_a_few_gateways_come_back_soon() -> None:
+def test_a_few_rejected_gateways_poll_again_soon() -> None:
     assert delays_after_rejection(3)[-1] <= 3.0
 
 
-def test_hundreds_spread_their_polls_over_all_the_time_that_the_deadline_leaves() -> None:
-    # They stayed away for up to 30 s: a drain in that time was missed, though it counts as known after 6 s.
+def test_hundreds_of_gateways_spread_their_polls_over_the_time_until_the_deadline() -> None:
+    # Guards against a spread beyond the deadline: gateways polled again only after up to 30 s and missed
+    # drains of which they counted as notified after 6 s.
     delays = delays_after_rejection(400)
     assert 0.8 * NOTIFICATION_DEADLINE_S < delays[-1] < NOTIFICATION_DEADLINE_S
-    most = 1.5 * 400 / NOTIFICATION_DEADLINE_S
-    assert all(sum(at <= d < at + 1.0 for d in delays) <= most for at in delays)
+    max_polls_per_s = 1.5 * 400 / NOTIFICATION_DEADLINE_S
+    assert all(sum(start <= delay < start + 1.0 for delay in delays) <= max_polls_per_s for start in delays)
 
 
 FAILURES = ["busy", "malformed", "failing", "reset", "refused", "truncated"]
@@ -93,12 +95,13 @@
 
 @pytest.mark.parametrize("sharing_gateways", [0, 3, 200])
 @pytest.mark.parametrize("failure", [*FAILURES, "silent"])
-def test_the_list_is_current_within_the_deadline_whatever_a_poll_came_to(
+def test_the_list_is_current_within_the_deadline_after_any_failure_of_a_poll(
     failure: str, sharing_gateways: int
 ) -> None:
-    # After a 503 the next of 200 gateways' polls came up to 30 s later.
-    for number in range(40):
-        discovery = SimulatedDiscovery(["good", failure], sharing_gateways, number)
+    # Guards against delays that ignore the deadline: with 200 gateways, the poll after a 503 came up to 30 s
+    # later.
+    for gateway_index in range(40):
+        discovery = SimulatedDiscovery(["good", failure], sharing_gateways, gateway_index)
         discovery.loop.run(30.0)
         gaps = [b - a for a, b in itertools.pairwise(discovery.confirmed_at)]
         assert len(gaps) >= 5
@@ -106,43 +109,46 @@
 
 
 @pytest.mark.parametrize("sharing_gateways", [0, 200])
-def test_the_list_is_current_within_the_deadline_after_several_polls_that_failed(
+def test_the_list_is_current_within_the_deadline_after_several_failed_polls(
     sharing_gateways: int,
 ) -> None:
-    # A shared service rejects once at most here: a poll that it rejects again has a second left, or less, and
-    # is spread over the longer time that lets the service recover.
+    # A shared service rejects at most one poll here: after a second rejection at most one second is left
+    # until the deadline, and the next poll is spread over the longer time that lets the service recover.
     rng = random.Random(sharing_gateways)
     failures = [failure for failure in FAILURES if failure != "busy" or not sharing_gateways]
-    for number in range(100):
+    for gateway_index in range(100):
         failed = [rng.choice(failures) for _ in range(rng.randrange(1, 4 if sharing_gateways else 9))]
         if rng.random() < 0.5:
-            failed = ["silent", rng.choice(failures)]  # what follows silence has a second left
+            failed = ["silent", rng.choice(failures)]  # a poll after a silent one has one second left
         elif sharing_gateways:
             failed.insert(0, "busy")
-        discovery = SimulatedDiscovery(["good", *failed], sharing_gateways, number)
+        discovery = SimulatedDiscovery(["good", *failed], sharing_gateways, gateway_index)
         discovery.loop.run(30.0)
         gaps = [b - a for a, b in itertools.pairwise(discovery.confirmed_at)]
         assert max(gaps) <= NOTIFICATION_DEADLINE_S, (failed, max(gaps))
 
 
-def test_an_agent_is_polled_again_within_a_drains_grace_after_a_failure() -> None:
-    # What an agent has counts as notified even without a watch; after a 503 it went unpolled for 30 s.
+def test_an_agent_is_polled_again_within_the_grace_period_of_a_drain_after_a_failure() -> None:
+    # Changes that an agent holds count as notified even without an open watch. Guards against the long delay
+    # meant for a shared service: after a 503 the agent was not polled for 30 s.
     for failure in FAILURES:
         discovery = SimulatedDiscovery(["good", *[failure] * 8], 0, 1)
         discovery.loop.run(20.0)
-        failed = [b - a for a, b in itertools.pairwise(discovery.polled_at)][1:9]
-        assert max(failed) < DRAIN_GRACE_S, failure
+        gaps_after_failures = [b - a for a, b in itertools.pairwise(discovery.polled_at)][1:9]
+        assert max(gaps_after_failures) < DRAIN_GRACE_S, failure
 
 
-def test_a_moved_discovery_is_polled_within_what_sighup_allows() -> None:
-    for number in range(40):
-        discovery = SimulatedDiscovery(["good"], 200, number)
+def test_the_list_is_confirmed_within_the_deadline_after_a_change_of_the_address() -> None:
+    for gateway_index in range(40):
+        discovery = SimulatedDiscovery(["good"], 200, gateway_index)
         discovery.loop.run(1.0)
         discovery.outcomes = ["busy"]
-        moved, before = discovery.loop.now, len(discovery.confirmed_at)
+        moved_at = discovery.loop.now
+        confirmations_before = len(discovery.confirmed_at)
         discovery.watch.move_to(("127.0.0.1", 2))
         discovery.loop.run(30.0)
-        assert discovery.confirmed_at[before] - moved <= NOTIFICATION_DEADLINE_AFTER_RELOAD_S
+        confirmed_at = discovery.confirmed_at[confirmations_before]
+        assert confirmed_at - moved_at <= NOTIFICATION_DEADLINE_AFTER_RELOAD_S
 
 
 def test_a_stale_list_is_logged_once_and_so_is_its_recovery(
@@ -156,25 +162,29 @@
     assert sum("event=endpoint_list_current stale_s=" in line for line in lines) == 1
 
 
-def test_no_storm_follows_the_deadline() -> None:
-    # Polls every second by all that were late kept the service from answering any of them.
-    calls: list[float] = []
-    for number in range(200):
-        discovery = SimulatedDiscovery(["good", *["busy"] * 1000], 200, number)
+def test_no_retry_storm_follows_the_deadline() -> None:
+    # Guards against a retry storm of gateways past their deadline: each polled every second, and the service
+    # could not answer any of them.
+    late_polls: list[float] = []
+    for gateway_index in range(200):
+        discovery = SimulatedDiscovery(["good", *["busy"] * 1000], 200, gateway_index)
         discovery.loop.run(60.0)
-        calls += [at for at in discovery.polled_at if at > 2 * NOTIFICATION_DEADLINE_S]
-    assert len(calls) / (60.0 - 2 * NOTIFICATION_DEADLINE_S) <= 1.2 * 200 / (0.5 * MAX_POLL_SPREAD_S)
+        late_polls += [
+            polled_at for polled_at in discovery.polled_at if polled_at > 2 * NOTIFICATION_DEADLINE_S
+        ]
+    assert len(late_polls) / (60.0 - 2 * NOTIFICATION_DEADLINE_S) <= 1.2 * 200 / (0.5 * MAX_POLL_SPREAD_S)
 
 
 TRUNCATED = b'HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"version":5,'
-BUSY, NO_HTTP = http_response(b"", "503 Service Unavailable"), b"HTTP/1.1 what\r\n\r\n"
-BAD_RESPONSES = [BUSY, http_response(b"", "500 Oops"), http_response(b"{"), NO_HTTP, TRUNCATED]
+BUSY = http_response(b"", "503 Service Unavailable")
+NOT_HTTP = b"HTTP/1.1 what\r\n\r\n"
+BAD_RESPONSES = [BUSY, http_response(b"", "500 Oops"), http_response(b"{"), NOT_HTTP, TRUNCATED]
 
 
 @pytest.mark.parametrize(
     "response", BAD_RESPONSES, ids=["503", "500", "malformed", "not HTTP", "truncated body"]
 )
-def test_a_drain_is_noticed_within_its_grace_after_any_bad_response_of_an_agent(response: bytes) -> None:
+def test_a_drain_is_noticed_within_its_grace_period_after_a_bad_response_of_an_agent(response: bytes) -> None:
     async def scenario() -> None:
         rows = [server_row("s0", 80), server_row("s9", 81)]
         discovery = ScriptedDiscovery(endpoint_list_response(4, rows))
@@ -187,14 +197,15 @@
                 await wait_until(lambda: gateway.process.endpoint_watch.connection.status == 200)  # type: ignore[union-attr]
                 discovery.writers[-1].transport.abort()
             await wait_until(lambda: gateway.server_pools.pools["s9"].write_deadline is not None)
-            # A watch and a pause.
+            # The time between the two polls is that of a watch and a pause.
             assert discovery.request_times[2] - discovery.request_times[1] < 2 * DRAIN_GRACE_S
 
     run_scenario(scenario())
 
 
-def test_an_agent_that_can_not_be_reached_is_polled_again_within_a_drains_grace() -> None:
-    # The delay doubled with each failure: a drain sent at the agent's return was heard of up to 1.5 s later.
+def test_an_unreachable_agent_is_polled_again_within_the_grace_period_of_a_drain() -> None:
+    # Guards against exponential backoff for an agent: with it, a drain that the agent announced on its return
+    # was noticed up to 1.5 s later.
     loop = FrozenLoop()
     watch = frozen_watch(loop)
     delays = []
@@ -207,7 +218,8 @@
 
 
 def test_a_lost_watch_continues_from_the_version_held() -> None:
-    # A snapshot for every gateway, each time, is what kept discovery from answering.
+    # Guards against a snapshot request after each lost watch: the snapshots for all gateways kept discovery
+    # too busy to answer.
     async def scenario() -> None:
         rows = [server_row("a", 80), server_row("b", 81)]
         discovery = ScriptedDiscovery(
@@ -226,7 +238,7 @@
     run_scenario(scenario())
 
 
-def test_the_watch_survives_errors_and_applies_what_it_can_trust() -> None:
+def test_the_watch_survives_errors_and_applies_only_usable_lists() -> None:
     async def scenario() -> None:
         rows = [server_row("a", 80), server_row("b", 81)]
         discovery = ScriptedDiscovery(
@@ -244,7 +256,10 @@
         script = ScriptedPolicy(lambda event: [])
         async with running_gateway(policy=script, discovery=discovery):
             await wait_until(lambda: len(discovery.targets) == 11)
-            updates = [(e.kind, [x.server_id for x in e.endpoints]) for e in script.events_of(EndpointUpdate)]
+            updates = [
+                (update.kind, [endpoint.server_id for endpoint in update.endpoints])
+                for update in script.events_of(EndpointUpdate)
+            ]
             assert updates == [
                 (UpdateKind.CACHED_SNAPSHOT, []),
                 (UpdateKind.SNAPSHOT, ["a", "b"]),
@@ -268,7 +283,7 @@
     run_scenario(scenario())
 
 
-def test_discovery_that_is_down_keeps_no_gateway_from_serving() -> None:
+def test_a_gateway_serves_while_discovery_is_down() -> None:
     async def scenario() -> None:
         discovery = ScriptedDiscovery(endpoint_list_response(1, []))
         discovery.responses.clear()
@@ -281,7 +296,8 @@
 
 def test_a_response_from_an_old_address_is_dropped() -> None:
     async def scenario() -> None:
-        old, new = ScriptedDiscovery(endpoint_list_response(9, [server_row("a", 80)])), ScriptedDiscovery()
+        old = ScriptedDiscovery(endpoint_list_response(9, [server_row("a", 80)]))
+        new = ScriptedDiscovery()
         await new.start()
         script = ScriptedPolicy(lambda event: [])
         async with running_gateway(policy=script, discovery=old) as gateway:
@@ -289,7 +305,7 @@
             gateway.process.endpoint_watch.move_to(("127.0.0.1", new.port))
             old.responses.append(endpoint_list_response(10, [], full=True))
             await wait_until(lambda: new.targets)
-            assert list(gateway.server_pools.pools) == ["a"]  # kept until the new list comes
+            assert list(gateway.server_pools.pools) == ["a"]  # kept until the new list arrives
             new.responses.append(endpoint_list_response(2, [server_row("b", 81)]))
             await wait_until(lambda: list(gateway.server_pools.pools) == ["b"])
             assert new.targets[0] == "/v1/servers"
