--- a/quota_gateway/network/counter_client.py
+++ b/quota_gateway/network/counter_client.py
@@ -1,6 +1,6 @@
-"""The client of the shared counter: increments over a fixed set of connections, each with a timeout.
+"""The client of the shared counter: increments with a timeout over a fixed number of connections.
 
-Calls for one key always go over the same connection, so that their replies come in the order of the calls.
+All calls for one key use the same connection, so that their replies arrive in the order of the calls.
 """
 
 from __future__ import annotations
@@ -12,29 +12,29 @@
 from quota_gateway.network.counter_connection import CompletionCallback, CounterConnection, PendingCall
 from quota_gateway.policy_api.events import CallOutcome
 
-# The counter holds 32 connections of a gateway (PROTOCOL, the counter). Replies on one come in the order of
-# its calls, so a call that a crowded part of the counter is slow to take up holds back the replies behind
-# it, and a malformed reply ends them all.
+# The counter accepts 32 connections per gateway. Several are used because the replies on a connection come in
+# the order of its calls: a call to an overloaded partition of the counter delays all replies after it, and a
+# malformed reply ends all pending calls of the connection.
 CONNECTION_COUNT = 12
-MAX_TTL_MS = 60_000
+MAX_TTL_MS = 60_000  # longest TTL that the counter applies
 
 
 class CounterClient:
-    """Increments counters by key; an increment completes once, within `timeout_s`."""
+    """Increments counters by key; each increment completes exactly once, within `timeout_s`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, timeout_s: float) -> None:
         self.connections = self._open_connections(loop, address)
         self.timeout_s = timeout_s
         self._loop = loop
         self._address = address
-        self._draining: list[CounterConnection] = []  # to earlier addresses, with pending calls
+        self._draining: list[CounterConnection] = []  # connections to earlier addresses with pending calls
 
     @staticmethod
     def _open_connections(loop: asyncio.AbstractEventLoop, address: Address) -> list[CounterConnection]:
         return [CounterConnection(loop, address) for _ in range(CONNECTION_COUNT)]
 
     def move_to(self, address: Address) -> None:
-        """Send new calls to another address; pending ones complete on the old connections."""
+        """Send new calls to another address; pending calls complete on the old connections."""
         if address == self._address:
             return
         self._address = address
@@ -46,20 +46,27 @@
         self.connections = self._open_connections(self._loop, address)
 
     def increment(self, key: int, amount: float, ttl_ms: float, on_complete: CompletionCallback) -> None:
-        """Add an amount to a key, which expires `ttl_ms` after its first call."""
+        """Add an amount to the counter of a key, which expires `ttl_ms` after its first increment.
+
+        `on_complete` is called once with the total, the outcome and the duration in milliseconds, possibly
+        before this method returns.
+        """
         connection = self.connections[key % CONNECTION_COUNT]
         now = self._loop.time()
         if self._draining:
             self._abandon_draining_calls(key)
         call = PendingCall(now, key, on_complete)
         if not connection.is_ready():
-            call.complete(now, CallOutcome.UNREACHABLE)  # nothing was written, so nothing was counted
+            call.complete(now, CallOutcome.UNREACHABLE)  # no call was written, so none can have been counted
             return
         call.timeout = self._loop.call_later(self.timeout_s, connection.time_out, call)
         connection.send(_encode_increment(key, amount, ttl_ms), call)
 
     def _abandon_draining_calls(self, key: int) -> None:
-        """Complete what is pending for a key at an earlier address: replies for one key keep their order."""
+        """Complete the calls for a key that are pending at earlier addresses.
+
+        Otherwise their replies could arrive after that of a later call for the key on another connection.
+        """
         for connection in self._draining:
             connection.abandon_calls(key)
         self._draining = [connection for connection in self._draining if connection.pending_calls]
@@ -71,6 +78,10 @@
 
 
 def _encode_increment(key: int, amount: float, ttl_ms: float) -> bytes:
-    """Encode INCRTTL. A key in decimal is the same at every gateway; the policy rounds to three places."""
+    """Encode INCRTTL.
+
+    The key is encoded in decimal, so that all gateways use the same name for it. The policy rounds amounts to
+    three decimal places, so none is lost here.
+    """
     ttl = max(1, min(MAX_TTL_MS, round(ttl_ms)))
     return resp.encode_command(b"INCRTTL", b"%d" % key, b"%.3f" % amount, b"%d" % ttl)
--- a/quota_gateway/network/counter_connection.py
+++ b/quota_gateway/network/counter_connection.py
@@ -1,7 +1,7 @@
-"""One connection to the shared counter: pipelined calls, heartbeat, reconnection.
+"""One connection to the shared counter: pipelined calls, heartbeats, reconnection.
 
-Replies come in the order of the calls, so each one completes the oldest pending call. A call that was
-written and has no reply may have been counted: it completes as a timeout and is never repeated.
+Replies arrive in the order of the calls, so each reply completes the oldest pending call. A call that was
+written and has no reply may have been counted: it completes as a timeout and is never retried.
 """
 
 from __future__ import annotations
@@ -17,38 +17,39 @@
 from quota_gateway.policy_api.events import CallOutcome
 
 CONNECT_TIMEOUT_S = 0.5
-# The counter closes a connection that has been idle for about 10 s or less (PROTOCOL, the counter).
+# The counter closes connections that have been idle for about 10 s or less.
 HEARTBEAT_INTERVAL_S = 3.0
 HEARTBEAT_CHECK_INTERVAL_S = 0.5
-SILENCE_TIMEOUT_S = 1.5  # a reply this late means a peer that vanished; the connection is opened again
+SILENCE_TIMEOUT_S = 1.5  # a peer that takes longer to reply counts as lost; the gateway reconnects
 MIN_RECONNECT_DELAY_S = 0.05
 MAX_RECONNECT_DELAY_S = 1.0
 
-MAX_TOTAL = 1e12  # a greater one is no count: an amount is at most 1e9 (PROTOCOL, the counter)
-_TOTAL = re.compile(rb"-?[0-9]{1,15}(\.[0-9]{1,15})?(e[+-]?[0-9]{1,2})?")
+# Totals beyond this are rejected as malformed: a single amount is at most 1e9.
+MAX_PLAUSIBLE_TOTAL = 1e12
+_TOTAL_PATTERN = re.compile(rb"-?[0-9]{1,15}(\.[0-9]{1,15})?(e[+-]?[0-9]{1,2})?")
 
-# Called once with total, outcome and duration in milliseconds.
+# Receives the total of the key, the outcome of the call, and its duration in milliseconds; called once.
 CompletionCallback = Callable[[float, CallOutcome, float], None]
 
 
 class ConnectionState(Enum):
     """The lifecycle of a connection.
 
-    CONNECTING and READY alternate for as long as the connection is used; a lost one is opened again. DRAINING
-    and CLOSED are final.
+    CONNECTING and READY alternate while the connection is in use, since a lost connection is opened again.
+    A connection that is DRAINING or CLOSED is never opened again.
     """
 
     CONNECTING = "connecting"  # an attempt to connect is under way or scheduled
     READY = "ready"  # calls can be written
-    DRAINING = "draining"  # no new calls; closes with the reply to the last pending one
+    DRAINING = "draining"  # no new calls; closes after the reply to the last pending call
     CLOSED = "closed"
 
 
-_FINAL_STATES = (ConnectionState.DRAINING, ConnectionState.CLOSED)
+_STATES_WITHOUT_RECONNECT = (ConnectionState.DRAINING, ConnectionState.CLOSED)
 
 
 class PendingCall:
-    """A call that was written. `key` is None for a heartbeat, which nobody waits for."""
+    """A call that waits for its reply. `key` is None for a heartbeat, which has no caller."""
 
     __slots__ = ("_on_complete", "key", "sent_at", "timeout")
 
@@ -61,7 +62,7 @@
         self._on_complete = on_complete
 
     def complete(self, now: float, outcome: CallOutcome, total: float = 0.0) -> None:
-        """Report the outcome, unless one was reported before."""
+        """Cancel the timeout and report the outcome, unless an outcome was reported before."""
         on_complete, self._on_complete = self._on_complete, None
         if self.timeout is not None:
             self.timeout.cancel()
@@ -71,20 +72,21 @@
 
 
 class CounterConnection(asyncio.Protocol):
-    """A connection that opens itself and, until it is drained or closed, reconnects whenever it is lost."""
+    """A connection that opens itself and reconnects after each loss, until it is drained or closed."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: Address) -> None:
         self.state = ConnectionState.CONNECTING
-        # In the order written. A call that has timed out stays until its reply comes, so that replies match.
+        # Calls in the order they were written. A call that has timed out stays until its reply arrives, so
+        # that later replies still match their calls.
         self.pending_calls: deque[PendingCall] = deque()
-        self.reconnect_delay_s = MIN_RECONNECT_DELAY_S  # 0 once the connection has brought a reply
+        self.reconnect_delay_s = MIN_RECONNECT_DELAY_S  # 0 after a reply: the next reconnect is immediate
         self._loop = loop
         self._address = address
         self._transport: asyncio.Transport | None = None
         self._parser = resp.Parser()
         self._last_written_at = 0.0
         self._connect_task: asyncio.Task[None] | None = None
-        self._reconnect: asyncio.Handle | None = None  # the next attempt, if one is scheduled
+        self._reconnect: asyncio.Handle | None = None  # the scheduled attempt to connect, if any
         self._heartbeat = loop.call_later(HEARTBEAT_INTERVAL_S, self._check_heartbeat)
         self._start_connecting()
 
@@ -96,22 +98,22 @@
         return self.state is ConnectionState.READY and transport is not None and not transport.is_closing()
 
     def send(self, command: bytes, call: PendingCall) -> None:
-        """Write a call, while `is_ready`; its reply completes it."""
+        """Write a call, which its reply will complete; allowed only while `is_ready()` is true."""
         self._last_written_at = call.sent_at
         self._write(command, call)
 
     def time_out(self, call: PendingCall) -> None:
-        """Complete a call that has no reply in time.
+        """Complete a call whose reply has not arrived in time.
 
-        Its reply may still come, unless one that is incomplete and may never end stands before it: then the
-        connection is opened again.
+        The reply may still arrive later. If an incomplete reply is buffered, its rest may never arrive and it
+        would block all later replies, so the connection is aborted and opened again.
         """
         call.complete(self._loop.time(), CallOutcome.TIMEOUT)
         if self._parser.buffered_bytes():
             self._abort()
 
     def abandon_calls(self, key: int) -> None:
-        """Complete the pending calls for a key as timed out, as the next one goes over another connection."""
+        """Complete the pending calls for a key as timed out, since the next call uses another connection."""
         for call in self.pending_calls:
             if call.key == key:
                 call.complete(self._loop.time(), CallOutcome.TIMEOUT)
@@ -119,13 +121,13 @@
     # --- end of the connection ---------------------------------------------------------------------------
 
     def drain(self) -> None:
-        """Take no new calls and close once the pending ones have their replies, or the peer falls silent."""
+        """Accept no new calls; close after the replies to the pending calls, or if the peer falls silent."""
         self.state = ConnectionState.DRAINING
         if not self.pending_calls:
             self.close()
 
     def close(self) -> None:
-        """Close for good."""
+        """Close the connection permanently."""
         self.state = ConnectionState.CLOSED
         self._heartbeat.cancel()
         if self._connect_task is not None:
@@ -139,11 +141,12 @@
     # --- connecting --------------------------------------------------------------------------------------
 
     def reconnect(self) -> None:
-        """Schedule an attempt to connect, unless one is scheduled.
+        """Schedule an attempt to connect, unless one is already scheduled.
 
-        It follows at once where the connection has brought a reply, else after exponential backoff. A
-        connection that is given up just as it is made is reported both as lost and as a failed attempt; two
-        connections would mix up their replies here.
+        The attempt follows at once if the last connection has received a reply, otherwise after exponential
+        backoff. An attempt that times out just as the connection is made is reported both as a lost
+        connection and as a failed attempt. Two attempts would then open two connections and mix up their
+        replies.
         """
         if self._reconnect is not None:
             return
@@ -157,7 +160,7 @@
 
     def _start_connecting(self) -> None:
         self._reconnect = None
-        if self.state not in _FINAL_STATES:
+        if self.state not in _STATES_WITHOUT_RECONNECT:
             self._connect_task = self._loop.create_task(self._connect())
 
     async def _connect(self) -> None:
@@ -170,9 +173,9 @@
     # --- asyncio.Protocol --------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport and send a heartbeat; closed meanwhile, the connection ends here."""
+        """Store the transport and send a heartbeat; abort if drained or closed in the meantime."""
         self._transport = transport  # type: ignore[assignment]  # always a stream transport
-        if self.state in _FINAL_STATES:
+        if self.state in _STATES_WITHOUT_RECONNECT:
             self._abort()
             return
         self.state = ConnectionState.READY
@@ -180,7 +183,7 @@
         self._send_heartbeat(self._loop.time())
 
     def data_received(self, data: bytes) -> None:
-        """Complete calls by their replies; a malformed reply ends the connection."""
+        """Complete pending calls with the received replies; a malformed reply ends the connection."""
         try:
             self._parser.feed(data)
             while (reply := self._parser.next_message()) is not resp.NEED_DATA:
@@ -191,10 +194,10 @@
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # the signature of asyncio.Protocol
-        """Time out the pending calls, which may have been counted, and reconnect."""
+        """Complete the pending calls as timed out, since they may have been counted, and reconnect."""
         self._transport = None
         calls, self.pending_calls = self.pending_calls, deque()
-        if self.state in _FINAL_STATES:
+        if self.state in _STATES_WITHOUT_RECONNECT:
             self.state = ConnectionState.CLOSED
             self._heartbeat.cancel()
         else:
@@ -204,13 +207,13 @@
             call.complete(self._loop.time(), CallOutcome.TIMEOUT)
 
     def _handle_reply(self, reply: object) -> None:
-        """Complete the oldest pending call; raises `resp.ProtocolError` for what is no reply to it.
+        """Complete the oldest pending call; raises `resp.ProtocolError` if the reply is not valid for it.
 
-        Only the protocol's own forms say what became of a call. After any other the amount counts as added,
-        and the connection can't be used any more.
+        Only the replies that the protocol defines tell the outcome of a call. After any other reply the
+        amount may have been added, and the connection can't be used any longer.
         """
         if not self.pending_calls:
-            raise resp.ProtocolError("a reply to no call")
+            raise resp.ProtocolError("the counter sent a reply without a pending call")
         outcome, total = _classify_reply(reply, heartbeat=self.pending_calls[0].key is None)
         self.reconnect_delay_s = 0.0
         self.pending_calls.popleft().complete(self._loop.time(), outcome, total)
@@ -218,7 +221,7 @@
     # --- heartbeat ---------------------------------------------------------------------------------------
 
     def _check_heartbeat(self) -> None:
-        """Keep the connection from being closed as idle, and give up one whose peer has fallen silent."""
+        """Send a heartbeat before the counter closes the connection as idle; abort if the peer is silent."""
         self._heartbeat = self._loop.call_later(HEARTBEAT_CHECK_INTERVAL_S, self._check_heartbeat)
         if self._transport is None:
             return
@@ -240,13 +243,20 @@
 
 
 def _classify_reply(reply: object, heartbeat: bool) -> tuple[CallOutcome, float]:
-    """Return outcome and total of a call; raises `resp.ProtocolError`."""
+    """Return the outcome of a call and the total of its key; raises `resp.ProtocolError`.
+
+    The total is 0 for a heartbeat and for a rejected call.
+    """
     if heartbeat:
         if reply != "PONG":
-            raise resp.ProtocolError("no reply to a heartbeat")
+            raise resp.ProtocolError(f"expected PONG in reply to a heartbeat, got {reply!r}")
         return CallOutcome.OK, 0.0
-    if isinstance(reply, bytes) and _TOTAL.fullmatch(reply) and abs(float(reply)) <= MAX_TOTAL:
+    if (
+        isinstance(reply, bytes)
+        and _TOTAL_PATTERN.fullmatch(reply)
+        and abs(float(reply)) <= MAX_PLAUSIBLE_TOTAL
+    ):
         return CallOutcome.OK, float(reply)
     if isinstance(reply, resp.ReplyError) and (str(reply) == "BUSY" or str(reply)[:4] == "ERR "):
         return CallOutcome.REJECTED, 0.0
-    raise resp.ProtocolError("no total")
+    raise resp.ProtocolError(f"expected a total, BUSY or ERR in reply to an increment, got {reply!r}")
--- a/quota_gateway/network/resp.py
+++ b/quota_gateway/network/resp.py
@@ -1,8 +1,8 @@
-"""RESP2, the wire protocol towards clients, servers and the counter: an incremental parser and encoders.
+"""RESP2, the wire protocol spoken with clients, servers and the counter: an incremental parser and encoders.
 
-The parser is stricter than hiredis, on which it rests. hiredis accepts any two bytes as the end of a bulk
-string, allocates whatever number of elements an array announces, and buffers without limit. A message is
-therefore handed to hiredis only once it is known to be complete, well-formed and within the limits below.
+The parser checks more than hiredis, on which it is based: hiredis accepts any two bytes as the end of a bulk
+string, allocates as many elements as an array announces, and buffers without limit. A message is therefore
+passed to hiredis only after it is known to be complete, well-formed and within the limits below.
 """
 
 from __future__ import annotations
@@ -13,20 +13,21 @@
 
 import hiredis
 
-MAX_BULK_BYTES = 64 * 1024  # the longest value that the protocol allows
-MAX_MESSAGE_BYTES = 2 * MAX_BULK_BYTES  # bytes buffered for one incomplete message
-MAX_STATUS_BYTES = 1024  # a status or error line
-MAX_HEADER_BYTES = 24  # a line that holds a length or an integer
-MAX_ARRAY_ITEMS = 99  # the protocol's own arrays have five items at most
-MAX_ARRAY_DEPTH = 2  # a server's response holds one nested array: the usage figures
-MAX_ERROR_TEXT = 200  # characters of an error text that we send
+MAX_BULK_BYTES = 64 * 1024  # longest value that the protocol allows
+MAX_MESSAGE_BYTES = 2 * MAX_BULK_BYTES  # limit on the bytes buffered for one incomplete message
+MAX_STATUS_BYTES = 1024  # length of a status or error line
+MAX_HEADER_BYTES = 24  # length of a line that holds an integer or the length of a string or array
+MAX_ARRAY_ITEMS = 99  # the messages of the protocol have at most five
+MAX_ARRAY_DEPTH = 2  # the response of a server is an array that holds one nested array: the usage figures
+MAX_ERROR_TEXT_CHARS = 200  # length of the text in an error that the gateway sends
 
 PONG = b"+PONG\r\n"
 OK = b"+OK\r\n"
 FAILED = b"-ERR failed\r\n"
 ReplyError = hiredis.ReplyError
 
-_INTEGER = re.compile(rb"-?(0|[1-9][0-9]{0,17})")
+_INTEGER_PATTERN = re.compile(rb"-?(0|[1-9][0-9]{0,17})")
+# The type bytes that begin a message.
 _STATUS, _ERROR, _NUMBER, _BULK, _ARRAY = b"+-:$*"
 
 
@@ -36,26 +37,30 @@
     NEED_DATA = "need_data"
 
 
-NEED_DATA: Final = NeedData.NEED_DATA  # what a parser returns while a message is incomplete
+NEED_DATA: Final = NeedData.NEED_DATA  # returned by a parser while a message is incomplete
 
-# A complete message: status, bulk string, integer, null, error or array.
+# A decoded message: a status, bulk string, integer, null, error or array.
 Message = str | bytes | int | None | ReplyError | list["Message"]
 
 
 class ProtocolError(Exception):
-    """The peer sent bytes that are not RESP2, or a message beyond the limits. The stream can't be resumed."""
+    """The peer sent bytes that are not RESP2, or a message beyond the limits.
+
+    The rest of the stream can't be parsed. The text of the error is sent to a client that caused it.
+    """
 
 
 class Parser:
-    """Incremental parser for one direction of a connection: bytes in, complete messages out."""
+    """Incremental parser of the bytes received on one connection; returns complete messages."""
 
     __slots__ = ("_buffer", "_position")
 
     def __init__(self) -> None:
-        self._buffer, self._position = b"", 0
+        self._buffer = b""
+        self._position = 0
 
     def feed(self, data: bytes) -> None:
-        """Buffer bytes as they were received."""
+        """Append received bytes to the buffer."""
         if self._position < len(self._buffer):
             self._buffer = self._buffer[self._position :] + data
         else:
@@ -65,10 +70,11 @@
     def next_message(self) -> Message | Literal[NeedData.NEED_DATA]:
         """Return the next complete message, or `NEED_DATA`.
 
-        A status comes as `str`, a bulk string as `bytes`, an integer as `int`, an array as `list`, a null as
-        None, an error as a `ReplyError` that is returned, not raised. Raises `ProtocolError`.
+        A status is returned as `str`, a bulk string as `bytes`, an integer as `int`, an array as `list` and a
+        null as None. An error is returned as a `ReplyError`, not raised. Raises `ProtocolError`.
         """
-        start, end = self._position, _message_end(self._buffer, self._position)
+        start = self._position
+        end = _message_end(self._buffer, start)
         if not end:
             if len(self._buffer) - start > MAX_MESSAGE_BYTES:
                 raise ProtocolError("message too large")
@@ -79,7 +85,9 @@
         reader = hiredis.Reader()
         reader.feed(self._buffer, start, end - start)
         if end == len(self._buffer):
-            self._buffer, self._position = b"", 0  # an idle connection keeps no buffer alive
+            # The buffer is released, so that an idle connection holds no memory for it.
+            self._buffer = b""
+            self._position = 0
         try:
             message: Message = reader.gets()
         except hiredis.ProtocolError as error:
@@ -87,12 +95,15 @@
         return message
 
     def buffered_bytes(self) -> int:
-        """Return how many bytes follow the last message returned."""
+        """Return the number of buffered bytes after the last message returned."""
         return len(self._buffer) - self._position
 
 
 def _message_end(buffer: bytes, position: int, depth: int = 0) -> int:
-    """Return where the message at `position` ends, or 0 if it is incomplete."""
+    """Return the index after the message at `position`, or 0 if it is incomplete.
+
+    `depth` is the number of arrays that enclose the message.
+    """
     if position >= len(buffer):
         return 0
     kind = buffer[position]
@@ -112,7 +123,10 @@
 
 
 def _array_end(buffer: bytes, position: int, count: int, depth: int) -> int:
-    """Return where an array of `count` items ends whose first item is at `position`, or 0."""
+    """Return the index after an array of `count` items, or 0 if it is incomplete.
+
+    `position` is the index of its first item.
+    """
     if not 0 <= count <= MAX_ARRAY_ITEMS or depth >= MAX_ARRAY_DEPTH:
         raise ProtocolError("too many elements")
     end = position
@@ -124,7 +138,10 @@
 
 
 def _bulk_end(buffer: bytes, position: int, length: int) -> int:
-    """Return where a bulk string of `length` bytes ends whose content is at `position`, or 0."""
+    """Return the index after a bulk string of `length` bytes, or 0 if it is incomplete.
+
+    `position` is the index of its content.
+    """
     if not 0 <= length <= MAX_BULK_BYTES:
         raise ProtocolError("value too long")
     end = position + length
@@ -134,7 +151,7 @@
 
 
 def _line_end(buffer: bytes, position: int, limit: int) -> int:
-    """Return where the line at `position` ends, line break included, or 0 if that has not arrived."""
+    """Return the index after the line break of the line at `position`, or 0 if it has not arrived."""
     end = buffer.find(b"\n", position, position + limit + 2)
     if end < 0:
         if len(buffer) - position > limit:
@@ -146,8 +163,8 @@
 
 
 def _line_integer(buffer: bytes, position: int, end: int) -> int:
-    """Return the integer of the line from `position`, its type byte, to `end`."""
-    if _INTEGER.fullmatch(buffer, position + 1, end - 2) is None:
+    """Return the integer in the line whose type byte is at `position` and whose line break ends at `end`."""
+    if _INTEGER_PATTERN.fullmatch(buffer, position + 1, end - 2) is None:
         raise ProtocolError("bad number")
     return int(buffer[position + 1 : end - 2])
 
@@ -158,16 +175,16 @@
 
 
 def encode_command(*words: bytes) -> bytes:
-    """Encode a command: an array of bulk strings."""
+    """Encode a command as an array of bulk strings."""
     return b"*%d\r\n%b" % (len(words), b"".join([encode_bulk(word) for word in words]))
 
 
 def encode_busy(retry_after_ms: float) -> bytes:
-    """Encode a rejection, with Retry-After if positive, rounded up to whole milliseconds."""
+    """Encode a rejection; a positive retry-after is included, rounded up to whole milliseconds."""
     return b"-BUSY %d\r\n" % -int(-retry_after_ms // 1) if retry_after_ms > 0 else b"-BUSY\r\n"
 
 
 def encode_error(text: str) -> bytes:
-    """Encode an error. Control and non-ASCII characters become `?`; long text is cut."""
-    clean = "".join(c if " " <= c <= "~" else "?" for c in text)[:MAX_ERROR_TEXT]
+    """Encode an error. Control and non-ASCII characters are replaced by `?`; long text is truncated."""
+    clean = "".join(c if " " <= c <= "~" else "?" for c in text)[:MAX_ERROR_TEXT_CHARS]
     return b"-ERR " + clean.encode() + b"\r\n"
--- a/tests/network/test_counter_client.py
+++ b/tests/network/test_counter_client.py
@@ -13,7 +13,7 @@
 
 
 class RecordedClient:
-    """A client whose completions are recorded as key, total and outcome."""
+    """A client that records the key, total and outcome of each completed increment."""
 
     def __init__(self, port: int, timeout_s: float = 30.0) -> None:
         self.client = CounterClient(asyncio.get_running_loop(), ("127.0.0.1", port), timeout_s)
@@ -34,7 +34,7 @@
         await wait_until(lambda: len(self.completions) == count)
 
 
-def test_replies_match_calls_in_order_late_ones_too() -> None:
+def test_replies_match_calls_in_order_also_after_a_late_reply() -> None:
     async def scenario() -> None:
         release = asyncio.Event()
 
@@ -49,7 +49,7 @@
         await peer.start()
         recorded = RecordedClient(peer.port, timeout_s=0.05)
         recorded.increment(2)
-        assert recorded.completions == [(2, 0.0, CallOutcome.UNREACHABLE)]  # not connected: nothing was added
+        assert recorded.completions == [(2, 0.0, CallOutcome.UNREACHABLE)]  # not connected, so not counted
         await recorded.wait_until_ready()
         recorded.increment(2, 1.5, 4000.0)
         await recorded.wait_for_completions(2)
@@ -70,16 +70,16 @@
     run_scenario(scenario())
 
 
-def test_a_call_is_not_repeated_after_the_counter_hangs_up_and_the_next_uses_a_new_connection() -> None:
+def test_a_call_is_not_retried_after_the_counter_disconnects_and_the_next_uses_a_new_connection() -> None:
     async def scenario() -> None:
-        hung = False
+        has_disconnected = False
 
         async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
-            nonlocal hung
+            nonlocal has_disconnected
             if words[0] == b"PING":
                 return b"+PONG\r\n"
-            if not hung:
-                hung = True
+            if not has_disconnected:
+                has_disconnected = True
                 writer.close()
                 return None
             return b"$1\r\n3\r\n"
@@ -92,7 +92,7 @@
             recorded.increment(2)
             await recorded.wait_for_completions(count)
         assert recorded.completions == [(2, 0.0, CallOutcome.TIMEOUT), (2, 3.0, CallOutcome.OK)]
-        assert len(peer.received_commands()) == 2  # the first was not repeated
+        assert len(peer.received_commands()) == 2  # the first call was not retried
         recorded.client.close()
         await peer.stop()
 
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("malformed", MALFORMED)
-def test_a_malformed_reply_of_the_counter_may_have_added_and_ends_the_connection(malformed: bytes) -> None:
+def test_a_malformed_reply_times_out_the_call_and_ends_the_connection(malformed: bytes) -> None:
     async def scenario() -> None:
         answers = [malformed, b"$3\r\n4.5\r\n"]
 
@@ -137,7 +137,7 @@
     run_scenario(scenario())
 
 
-def test_a_slow_key_holds_back_the_replies_of_its_own_connection_only() -> None:
+def test_a_slow_key_delays_only_the_replies_of_its_own_connection() -> None:
     async def scenario() -> None:
         release = asyncio.Event()
 
@@ -167,15 +167,16 @@
     async def scenario() -> None:
         release = asyncio.Event()
 
-        async def late(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
+        async def reply_late(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
             if words[0] == b"INCRTTL":
                 await release.wait()
             return b"+PONG\r\n" if words[0] == b"PING" else b"$1\r\n7\r\n"
 
-        async def three(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
+        async def reply_three(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
             return b"+PONG\r\n" if words[0] == b"PING" else b"$1\r\n3\r\n"
 
-        old, new = ScriptedRespServer(late), ScriptedRespServer(three)
+        old = ScriptedRespServer(reply_late)
+        new = ScriptedRespServer(reply_three)
         await old.start()
         await new.start()
         recorded = RecordedClient(old.port)
@@ -185,12 +186,12 @@
         await wait_until(lambda: len(old.received_commands()) == 2)
         recorded.client.move_to(("127.0.0.1", new.port))
         await recorded.wait_until_ready()
-        recorded.increment(4)  # its old call completes now: replies for one key keep their order
+        recorded.increment(4)  # completes the old call for 4, so that replies for one key keep their order
         await recorded.wait_for_completions(2)
         assert recorded.completions == [(4, 0.0, CallOutcome.TIMEOUT), (4, 3.0, CallOutcome.OK)]
         release.set()
         await recorded.wait_for_completions(3)
-        await wait_until(lambda: [what for what, *_ in old.log].count("closed") == CONNECTION_COUNT)
+        await wait_until(lambda: [event for event, *_ in old.log].count("closed") == CONNECTION_COUNT)
         assert recorded.completions[2] == (2, 7.0, CallOutcome.OK)
         assert len(new.received_commands()) == 1
         recorded.client.close()
--- a/tests/network/test_counter_connection.py
+++ b/tests/network/test_counter_connection.py
@@ -1,4 +1,4 @@
-"""One connection to the shared counter: reconnection, heartbeat, and lifecycle."""
+"""One connection to the shared counter: lifecycle, reconnection, heartbeat."""
 
 from __future__ import annotations
 
@@ -48,8 +48,8 @@
     run_scenario(scenario())
 
 
-def test_a_connection_given_up_just_as_it_is_made_is_opened_again_once() -> None:
-    """Both its loss and the failed attempt are reported; two connections would mix up their replies."""
+def test_a_connection_that_times_out_as_it_is_made_is_opened_again_only_once() -> None:
+    """Both the loss and the failed attempt are reported; replies of two connections would be mixed up."""
 
     async def scenario() -> None:
         peer = ScriptedRespServer(always_reply(b"+PONG\r\n"))
@@ -60,9 +60,8 @@
         connection.reconnect()
         await wait_until(lambda: len(peer.writers) == 2)
         await wait_until(lambda: not connection.reconnect_delay_s)
-        await asyncio.sleep(
-            4 * counter_connection.MIN_RECONNECT_DELAY_S
-        )  # a second attempt would come within this
+        # A second attempt to connect would follow within this time.
+        await asyncio.sleep(4 * counter_connection.MIN_RECONNECT_DELAY_S)
         assert len(peer.writers) == 2
         connection.close()
         await peer.stop()
--- a/tests/network/test_discovery_watch.py
+++ b/tests/network/test_discovery_watch.py
@@ -197,7 +197,7 @@
                 await wait_until(lambda: gateway.process.endpoint_watch.connection.status == 200)  # type: ignore[union-attr]
                 discovery.writers[-1].transport.abort()
             await wait_until(lambda: gateway.server_pools.pools["s9"].write_deadline is not None)
-            # The time between the two polls is that of a watch and a pause.
+            # The interval between the two polls covers a watch and the pause after it.
             assert discovery.request_times[2] - discovery.request_times[1] < 2 * DRAIN_GRACE_S
 
     run_scenario(scenario())
--- a/tests/network/test_resp.py
+++ b/tests/network/test_resp.py
@@ -1,4 +1,4 @@
-"""The RESP2 parser and the encoders."""
+"""The RESP2 parser and encoders."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     assert str(message) == "BUSY 7"
 
 
-def test_buffered_bytes_are_those_behind_the_last_message() -> None:
+def test_buffered_bytes_are_those_after_the_last_message() -> None:
     parser = resp.Parser()
     parser.feed(b"+OK\r\n$5\r\nval")
     assert parser.next_message() == "OK"
@@ -66,4 +66,4 @@
 
 def test_an_error_text_is_one_line_of_bounded_length() -> None:
     assert resp.encode_error("no\r\nway é") == b"-ERR no??way ?\r\n"
-    assert len(resp.encode_error("x" * 1000)) == len(b"-ERR \r\n") + resp.MAX_ERROR_TEXT
+    assert len(resp.encode_error("x" * 1000)) == len(b"-ERR \r\n") + resp.MAX_ERROR_TEXT_CHARS
