--- a/quota_gateway/network/__main__.py
+++ b/quota_gateway/network/__main__.py
@@ -14,29 +14,31 @@
 from quota_gateway.network.log_setup import configure_logging
 from quota_gateway.network.process import GatewayProcess
 
-VERSION = "0.1.0"  # as in pyproject.toml: where `run` starts, the package itself is not installed
+# Must match pyproject.toml. It is not read from the package metadata, since `run` starts the gateway without
+# an installed package.
+VERSION = "0.1.0"
 
 EXIT_OK = 0
 EXIT_START_FAILED = 1
-EXIT_USAGE = 2  # a bad configuration or argument
+EXIT_USAGE = 2  # invalid configuration or argument
 
-# Plain text and no argument parser: there is nothing to parse, and importing one would slow every start.
+# Plain text: there are no options to parse, and importing an argument parser would slow down each start.
 USAGE = """\
 usage: python -m quota_gateway.network
 
-One gateway: takes requests over RESP2, enforces customers' quotas over all gateways together, chooses a
-server and gives each request one answer. It takes no options; these variables configure it:
+Runs one gateway: accepts requests over RESP2, enforces the customers' quotas across all gateways, chooses a
+server and gives each request one answer. It takes no options; environment variables configure it:
 
-  EDGE_CONFIG     path of the JSON configuration (required); it holds "settings" and may hold all that follows
-  EDGE_NAME       its name, where the file has no "name"
-  EDGE_LISTEN     address and port to listen on (HOST:PORT), where the file has no "listen"
-  EDGE_DISCOVERY  address and port of discovery (HOST:PORT), where the file has no "discovery"
+  EDGE_CONFIG     path of the JSON configuration file (required); the file must hold "settings"
+  EDGE_NAME       name of the gateway if the file has no "name"
+  EDGE_LISTEN     address to listen on (HOST:PORT) if the file has no "listen"
+  EDGE_DISCOVERY  address of discovery (HOST:PORT) if the file has no "discovery"
 
-SIGHUP reloads the addresses of discovery and counter from the file; SIGTERM shuts it down gracefully. It
-logs to standard error. Exit status: 0 after a shutdown, 1 if it can't start, 2 for a bad configuration or
-argument.
+SIGHUP reloads the addresses of discovery and the counter from the file; SIGTERM shuts the gateway down
+gracefully. Log lines go to standard error. Exit status: 0 after a shutdown, 1 if the gateway can't start,
+2 for an invalid configuration or argument.
 
-To try it with fake servers, counter and discovery on loopback: quota-gateway demo
+To try a gateway with fake servers, counter and discovery on loopback: quota-gateway demo
 """
 
 
@@ -45,15 +47,15 @@
     await process.run(early_sighups)
 
 
-def _answer_arguments(arguments: list[str]) -> int:
-    """Carry out what was asked on the command line; return the exit status."""
+def _handle_arguments(arguments: list[str]) -> int:
+    """Handle a command line with arguments, which never starts a gateway; return the exit status."""
     if len(arguments) == 1 and arguments[0] in ("-h", "--help"):
         print(USAGE, end="")
         return EXIT_OK
     if arguments == ["--version"]:
         print(f"quota-gateway {VERSION}")
         return EXIT_OK
-    _print_error(f"unknown arguments {' '.join(arguments)!r} (see --help)")
+    _print_error(f"unknown arguments {' '.join(arguments)!r}: expected none, --help or --version")
     return EXIT_USAGE
 
 
@@ -62,10 +64,11 @@
 
 
 def main() -> int:
-    """Run a gateway until it is told to stop; return the exit status."""
+    """Run a gateway until it receives SIGTERM or SIGINT; return the exit status."""
     if len(sys.argv) > 1:
-        return _answer_arguments(sys.argv[1:])
-    early_sighups: list[int] = []  # without a handler SIGHUP would end the process, however early it comes
+        return _handle_arguments(sys.argv[1:])
+    # SIGHUP ends a process that has no handler for it, so it is caught even before the event loop runs.
+    early_sighups: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _frame: early_sighups.append(number))
     configure_logging()
     environ = dict(os.environ)
--- a/quota_gateway/network/config.py
+++ b/quota_gateway/network/config.py
@@ -1,7 +1,7 @@
-"""The configuration of a gateway process: a JSON file named by EDGE_CONFIG, and a few variables.
+"""The configuration of a gateway process: a JSON file named by EDGE_CONFIG, and environment variables.
 
-The keys of the file are those of the operators' deployment pages. The mapping from them to `GatewayConfig`
-stands in this module; the `settings` object inside is decoded by `quota_gateway.settings`.
+The deployment specification defines the keys of the file. This module maps them to `GatewayConfig`;
+`quota_gateway.settings` decodes the nested `settings` object.
 """
 
 from __future__ import annotations
@@ -24,21 +24,21 @@
 
 DEFAULT_NAME = "gateway"
 DEFAULT_MAX_SOCKETS = 1024
-MIN_SOCKETS = 64  # fewer leave nothing for clients and servers beside the reserved descriptors
+MIN_SOCKETS = 64  # with fewer, the reserved descriptors leave none for clients and servers
 
 T = TypeVar("T")
 
 
 class ConfigError(Exception):
-    """A configuration that no gateway can run on; its text is one line for the operator."""
+    """The configuration can't be used; the message is one line for the operator."""
 
 
 class ConfigFileError(ConfigError):
-    """The configuration file is not named, can't be read, or holds no settings."""
+    """EDGE_CONFIG is not set, or its file can't be read or holds no settings."""
 
 
 class ConfigValueError(ConfigError):
-    """A value that can't be used; `key` is its path in the file."""
+    """A value of the configuration can't be used; `key` is its path in the file."""
 
     def __init__(self, key: str, problem: str, file: str = "") -> None:
         super().__init__(f"bad configuration{f' in {file}' if file else ''}: {key}: {problem}")
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayConfig:
-    """What the platform tells a gateway process."""
+    """The decoded configuration of a gateway process."""
 
     name: str
     listen_address: Address
@@ -56,7 +56,7 @@
     counter_address: Address | None
     seed: int
     max_sockets: int
-    cached_endpoints: VersionedUpdate | None  # the endpoint list of before the start
+    cached_endpoints: VersionedUpdate | None  # endpoint list from before the start
     settings: Settings
     network: NetworkSettings
 
@@ -75,7 +75,7 @@
     except (OSError, ValueError) as error:
         raise ConfigFileError(f"can't read {path}: {error}") from None
     if not isinstance(raw, dict) or not isinstance(raw.get("settings"), dict):
-        raise ConfigFileError(f"{path} holds no settings")
+        raise ConfigFileError(f'{path} holds no settings: expected a JSON object with an object "settings"')
     try:
         return decode_config(raw, environ)
     except ConfigValueError as error:
@@ -83,9 +83,9 @@
 
 
 def decode_config(raw: Mapping[str, Any], environ: Mapping[str, str]) -> GatewayConfig:
-    """Decode a configuration whose `settings` are an object; raises `ConfigValueError`.
+    """Decode a configuration, whose `settings` must be an object; raises `ConfigValueError`.
 
-    The variables of the environment count where the file is silent.
+    The environment variables supply the name and the addresses that the file does not set.
     """
     listen = raw.get("listen") or environ.get("EDGE_LISTEN")
     discovery = raw.get("discovery") or environ.get("EDGE_DISCOVERY")
@@ -106,7 +106,7 @@
 
 
 def _parse(key: str, value: Any, parser: Callable[[Any], T]) -> T:
-    """Return the parsed value; a `ValueError` or `TypeError` of the parser becomes one that names the key."""
+    """Return the parsed value; raises `ConfigValueError` with the key if the parser rejects the value."""
     try:
         return parser(value)
     except (TypeError, ValueError) as error:
@@ -114,6 +114,7 @@
 
 
 def _nested(raw: Mapping[str, Any], key: str) -> Mapping[str, Any]:
+    """Return the object under a key; an empty one if the key is missing or holds no object."""
     value = raw.get(key)
     return value if isinstance(value, dict) else {}
 
@@ -125,20 +126,26 @@
     except SettingsError as error:
         raise ConfigValueError(f"settings.{error.key}", error.problem) from None
     if not settings.classes:
-        raise ConfigValueError("settings.profiles", "names no classes")
+        raise ConfigValueError("settings.profiles", "expected at least one request class")
     if not settings.plans:
-        raise ConfigValueError("settings.packages", "names no plans")
+        raise ConfigValueError("settings.packages", "expected at least one plan")
     return settings, network
 
 
 def _parse_seed(value: object) -> int:
-    return int(str(value), 16)
+    try:
+        return int(str(value), 16)
+    except ValueError:
+        raise ValueError(f"expected a hexadecimal number, got {value!r}") from None
 
 
 def _parse_max_sockets(value: Any) -> int:
-    max_sockets = int(number_or(value, DEFAULT_MAX_SOCKETS))
+    try:
+        max_sockets = int(number_or(value, DEFAULT_MAX_SOCKETS))
+    except (TypeError, ValueError):
+        raise ValueError(f"expected a number, got {value!r}") from None
     if max_sockets < MIN_SOCKETS:
-        raise ValueError(f"{max_sockets} are too few, {MIN_SOCKETS} is the least")
+        raise ValueError(f"expected at least {MIN_SOCKETS}, got {max_sockets}")
     return max_sockets
 
 
--- a/quota_gateway/network/log_setup.py
+++ b/quota_gateway/network/log_setup.py
@@ -1,7 +1,7 @@
-"""Logging of the gateway program: one event a line in logfmt, on standard error, at a bounded rate.
+"""Logging of a gateway process: one event per line in logfmt, on standard error, at a limited rate.
 
-A line reads ``timestamp=2026-12-02T05:46:12.123Z level=info event=gateway_ready name=n0``. The traceback of
-an exception follows its line.
+Example of a line: ``timestamp=2026-12-02T05:46:12.123Z level=info event=gateway_ready name=n0``. The
+traceback of an exception follows the line of its event.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 from quota_gateway.logfmt import format_event
 
-MAX_LINES_PER_SECOND = 20  # more would make the log the load of a gateway in trouble
+MAX_LINES_PER_SECOND = 20  # keeps logging from overloading a gateway that has many errors to report
 
 
 class EventMessage:
-    """The message of a log record that reports an event; rendered only where a handler writes it."""
+    """The message of a log record that reports an event; rendered only if a handler writes the record."""
 
     __slots__ = ("event", "fields")
 
@@ -31,7 +31,7 @@
 def log_event(
     logger: logging.Logger, level: int, event: str, /, *, exc_info: bool = False, **fields: object
 ) -> None:
-    """Log an event, named in snake case, with its fields in the order given.
+    """Log an event, whose name is in snake case, with its fields in the given order.
 
     `exc_info` adds the traceback of the exception that is being handled.
     """
@@ -39,14 +39,17 @@
 
 
 class LogfmtFormatter(logging.Formatter):
-    """Renders timestamp (UTC), level and event; text logged by a library becomes the event `log_message`."""
+    """Renders the timestamp (UTC), the level and the event of a record.
+
+    Plain text, such as a library logs, is rendered as the event `log_message`.
+    """
 
     converter = staticmethod(time.gmtime)
     default_time_format = "%Y-%m-%dT%H:%M:%S"
     default_msec_format = "%s.%03dZ"
 
     def formatMessage(self, record: logging.LogRecord) -> str:  # noqa: N802  # overrides logging.Formatter
-        """Render the line of a record, without a traceback."""
+        """Return the line of a record, without a traceback."""
         event = record.getMessage()
         if not isinstance(record.msg, EventMessage):
             event = format_event("log_message", (("logger", record.name), ("message", event)))
@@ -54,24 +57,25 @@
 
 
 class LogRateLimit(logging.Filter):
-    """Drops the records of a second past the first `MAX_LINES_PER_SECOND`."""
+    """Drops all records of a second after the first `MAX_LINES_PER_SECOND`."""
 
     def __init__(self) -> None:
         super().__init__()
         self._second = 0
-        self._lines = 0
+        self._lines = 0  # records counted in that second
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Count a record; False where it is one too many."""
+        """Count a record; return whether it is within the limit of its second."""
         second = int(record.created)
         if second != self._second:
-            self._second, self._lines = second, 0
+            self._second = second
+            self._lines = 0
         self._lines += 1
         return self._lines <= MAX_LINES_PER_SECOND
 
 
 def configure_logging() -> None:
-    """Send the records of all loggers to standard error, from level info upwards."""
+    """Write the records of all loggers at level INFO and above to standard error."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(LogfmtFormatter())
     handler.addFilter(LogRateLimit())
--- a/quota_gateway/network/process.py
+++ b/quota_gateway/network/process.py
@@ -1,7 +1,7 @@
-"""A gateway process: start, reload of the configuration, graceful shutdown.
+"""The lifecycle of a gateway process: start, reload of the configuration, graceful shutdown.
 
-The process owns the parts of the gateway and the order in which they start and stop; each part owns its
-sockets. All of it runs in one event loop.
+`GatewayProcess` owns the components of the gateway and starts and stops them in order; each component owns
+its sockets. All components run in one event loop.
 """
 
 from __future__ import annotations
@@ -26,28 +26,28 @@
 from quota_gateway.policy.gateway import Gateway
 from quota_gateway.settings import NetworkSettings
 
-# A start waits this long for discovery's endpoint list before it serves by the cached one.
+# At the start, the longest wait for discovery's endpoint list before the gateway serves with the cached list.
 FIRST_LIST_TIMEOUT_S = 0.3
-# After SIGTERM new connections go on coming for up to 0.4 s (PROTOCOL, Figures): the listener stays open.
+# The listener stays open after SIGTERM, since new connections keep arriving for up to 0.4 s.
 ACCEPT_AFTER_SIGTERM_S = 0.5
-# SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as 3 s where it is longer, and
-# 0.7 s more (PROTOCOL, Figures). `SHUTDOWN_MARGIN_S` before that, requests in flight get their final answer
-# and new ones are rejected.
+# SIGKILL follows SIGTERM after at least the longest request deadline, limited to `MAX_COUNTED_DEADLINE_S`,
+# plus `KILL_AFTER_DEADLINE_S`. `SHUTDOWN_MARGIN_S` before that, the requests in flight get their final answer
+# and new requests are rejected.
 MAX_COUNTED_DEADLINE_S = 3.0
 KILL_AFTER_DEADLINE_S = 0.7
 SHUTDOWN_MARGIN_S = 0.5
-REPLY_FLUSH_TIMEOUT_S = 0.2  # for the last replies to leave
+REPLY_FLUSH_TIMEOUT_S = 0.2  # longest wait for clients to receive the last replies
 DRAIN_CHECK_INTERVAL_S = 0.02
-# Garbage collection is needed seldom: what is loaded at the start lives as long as the process and is frozen.
+# Garbage collection can be rare: the objects loaded at the start live as long as the process and are frozen.
 GC_THRESHOLDS = (20_000, 20, 20)
 
 log = logging.getLogger("quota_gateway")
 
 
 class GatewayProcess:
-    """One gateway process, from start to end.
+    """The components of one gateway, and their lifecycle.
 
-    `environ` is read again on a reload. `policy` replaces the gateway's own decisions, in tests.
+    `policy` replaces the gateway's own policy in tests. `environ` names the file that a reload reads again.
     """
 
     def __init__(
@@ -94,8 +94,8 @@
     async def run(self, early_sighups: list[int]) -> None:
         """Serve until SIGTERM or SIGINT, then shut down.
 
-        `early_sighups` holds the SIGHUPs that came before the loop ran. Raises OSError where the listen
-        address can't be bound.
+        `early_sighups` holds the SIGHUPs received before the event loop ran; if there are any, the
+        configuration is reloaded once. Raises OSError if the listen address can't be bound.
         """
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(signal_number, self.stop_requested.set)
@@ -112,10 +112,10 @@
         log_event(log, logging.INFO, "gateway_stopped", name=self.config.name)
 
     async def start(self) -> None:
-        """Start the parts, the listener last; raises OSError where the listen address can't be bound.
+        """Start the components, the listener last; raises OSError if the listen address can't be bound.
 
-        The cached endpoint list may be old, so discovery gets a moment to send the present one; a discovery
-        that is down delays the start no longer than that.
+        The cached endpoint list may be outdated, so the listener starts only after discovery's current list
+        has arrived or `FIRST_LIST_TIMEOUT_S` has passed.
         """
         cached = self.config.cached_endpoints
         if cached is not None:
@@ -126,9 +126,10 @@
         await self.listener.start(*self.config.listen_address)
 
     def reload(self) -> None:
-        """Read the configuration again and follow its addresses; anything else waits for a restart.
+        """Read the configuration again and apply its addresses of discovery and the counter.
 
-        A configuration that can't be used is logged, and the one in force stays.
+        Any other change takes effect only after a restart, and a warning is logged. If the new configuration
+        can't be used, the error is logged and the current configuration stays in force.
         """
         try:
             config = load_config(self.environ)
@@ -148,21 +149,24 @@
         )
 
     def _needs_restart(self, config: GatewayConfig) -> bool:
-        """Return whether more has changed than a reload applies; cached endpoints and seed don't count."""
-        applied = replace(
+        """Return whether the new configuration has changes that a reload doesn't apply.
+
+        Changes of the cached endpoints and of the seed are ignored.
+        """
+        with_current_addresses = replace(
             config,
             discovery_address=self.config.discovery_address,
             counter_address=self.config.counter_address,
             cached_endpoints=None,
             seed=self.config.seed,
         )
-        return applied != replace(self.config, cached_endpoints=None)
+        return with_current_addresses != replace(self.config, cached_endpoints=None)
 
     async def shut_down(self) -> None:
-        """Shut down gracefully, before the platform's SIGKILL.
+        """Shut down gracefully before the platform sends SIGKILL.
 
-        New connections are accepted for a while and requests in flight completed; what is left at the end
-        gets its final answer, and all sockets are closed.
+        New connections are accepted for `ACCEPT_AFTER_SIGTERM_S`. Requests in flight may complete until
+        `drain_duration_s` has passed; those left then get their final answer, and all sockets are closed.
         """
         started_at = self.loop.time()
         await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
@@ -174,12 +178,12 @@
         await self.close()
 
     async def _wait_for_clients(self, deadline: float) -> None:
-        """Wait until no client is connected, until `deadline` in the loop's time at most."""
+        """Wait until no client is connected or the event loop's time reaches `deadline`."""
         while self.listener.connections and self.loop.time() < deadline:
             await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
 
     async def close(self) -> None:
-        """Close all sockets."""
+        """Close all sockets immediately."""
         self.listener.close()
         self.endpoint_watch.close()
         if self.counter is not None:
@@ -189,7 +193,7 @@
 
 
 def drain_duration_s(max_deadline_ms: float) -> float:
-    """Return for how many seconds after SIGTERM requests are carried out, by the longest deadline."""
+    """Return for how long after SIGTERM requests are carried out, given the longest request deadline."""
     deadline_s = min(MAX_COUNTED_DEADLINE_S, max_deadline_ms / 1000.0)
     return deadline_s + KILL_AFTER_DEADLINE_S - SHUTDOWN_MARGIN_S
 
@@ -204,6 +208,7 @@
 
 
 async def _wait_for_event(event: asyncio.Event, timeout_s: float) -> None:
+    """Wait until the event is set or the timeout has passed."""
     try:
         await asyncio.wait_for(event.wait(), timeout_s)
     except TimeoutError:
--- a/tests/network/test_clock.py
+++ b/tests/network/test_clock.py
@@ -1,4 +1,4 @@
-"""The policy's clock."""
+"""The clock that the policy reads."""
 
 from __future__ import annotations
 
--- a/tests/network/test_config.py
+++ b/tests/network/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration file: defaults, variables of the environment, and errors that name the key."""
+"""The configuration file: defaults, environment variables, and errors that name the key."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from tests.network.scripted_peers import server_row
 
 
-def test_a_whole_file_is_decoded() -> None:
+def test_a_complete_file_is_decoded() -> None:
     config = decode_config(raw_config(5, 6, [server_row("s0", 7)], 8), {})
     assert config.name == "n0"
     assert config.listen_address == ("127.0.0.1", 8)
@@ -34,7 +34,7 @@
     assert config.cached_endpoints.update.kind is UpdateKind.CACHED_SNAPSHOT
 
 
-def test_variables_count_where_the_file_is_silent() -> None:
+def test_environment_variables_supply_what_the_file_does_not_set() -> None:
     environ = {"EDGE_NAME": "n7", "EDGE_LISTEN": "10.0.0.1:1", "EDGE_DISCOVERY": "10.0.0.2:2"}
     config = decode_config({"settings": SETTINGS}, environ)
     assert config.name == "n7"
@@ -47,7 +47,7 @@
     assert decode_config(raw_config(5, 6, []), environ).name == "n0"
 
 
-def test_a_counter_that_the_settings_do_not_allow_is_left_out() -> None:
+def test_a_counter_that_the_settings_disable_is_ignored() -> None:
     raw = raw_config(5, 6, []) | {"settings": SETTINGS | {"domain": {"counter": False}}}
     assert decode_config(raw, {}).counter_address is None
 
@@ -82,13 +82,13 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", "{}", '{"settings":5}'])
-def test_a_file_without_settings_is_named(tmp_path: Path, text: str) -> None:
+def test_an_error_names_a_file_without_settings(tmp_path: Path, text: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(text)
     with pytest.raises(ConfigFileError, match=str(path)):
         load_config({"EDGE_CONFIG": str(path)})
 
 
-def test_no_file_at_all_is_said() -> None:
+def test_an_error_says_that_edge_config_is_not_set() -> None:
     with pytest.raises(ConfigFileError, match="EDGE_CONFIG is not set"):
         load_config({})
