--- a/tests/network/gateway_processes.py
+++ b/tests/network/gateway_processes.py
@@ -1,4 +1,4 @@
-"""Gateway processes for tests: started, limited in their descriptors, and waited for."""
+"""Helpers that start gateway processes for tests, limit their descriptors, and connect to them."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 def free_port() -> int:
-    """A port that nobody listens on."""
-    with socket.socket() as found:
-        found.bind(("127.0.0.1", 0))
-        return int(found.getsockname()[1])
+    """Return a TCP port of the loopback interface that is not in use."""
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        return int(probe.getsockname()[1])
 
 
 async def start_gateway(
     config_path: Path, before_exec: Callable[[], None] | None = None
 ) -> asyncio.subprocess.Process:
-    """The program as a process of its own."""
+    """Start a gateway process; `before_exec` runs in the child process before the program."""
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -39,7 +39,7 @@
 
 
 async def connect_when_listening(port: int) -> RespClient:
-    """A connection to a program that is starting."""
+    """Return a connection to a starting process; retries until the process listens on the port."""
     while True:
         try:
             return await RespClient.connect(port)
@@ -51,7 +51,7 @@
 async def limited_gateway(
     config_path: Path, max_descriptors: int
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """The program with so many descriptors and no more, killed at the end if it still runs."""
+    """Run a gateway process with at most `max_descriptors`; it is killed at the end if it still runs."""
 
     def limit_descriptors() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (max_descriptors, max_descriptors))
--- a/tests/network/test_process.py
+++ b/tests/network/test_process.py
@@ -1,4 +1,4 @@
-"""The gateway as a process: configuration, signals, reload, graceful shutdown."""
+"""A gateway process: invalid configuration, signals, reload, graceful shutdown."""
 
 from __future__ import annotations
 
@@ -31,7 +31,9 @@
 @pytest.mark.parametrize(
     "text", ["", "{", "[]", "{}", '{"settings":{}}', '{"settings":5}', None, "bad listen"]
 )
-def test_a_bad_configuration_ends_with_one_line(tmp_path: Path, text: str | None) -> None:
+def test_an_invalid_configuration_ends_the_process_with_one_line_of_error(
+    tmp_path: Path, text: str | None
+) -> None:
     async def scenario() -> None:
         path = tmp_path / "config.json"
         if text == "bad listen":
@@ -39,10 +41,10 @@
         elif text is not None:
             path.write_text(text)
         process = await start_gateway(path)
-        _, err = await process.communicate()
+        _, error_output = await process.communicate()
         assert process.returncode == 2
-        assert err.startswith(b"quota-gateway: ")
-        assert err.count(b"\n") == 1
+        assert error_output.startswith(b"quota-gateway: ")
+        assert error_output.count(b"\n") == 1
 
     run_scenario(scenario())
 
@@ -51,8 +53,8 @@
     return b"+PONG\r\n" if words[0] == b"PING" else b"$1\r\n2\r\n"
 
 
-class Site:
-    """Discovery and counter at addresses of their own; discovery lists the servers under a version."""
+class ControlPlane:
+    """A discovery and a counter; discovery's endpoint list holds `rows` and has the given version."""
 
     def __init__(self, version: int, rows: list[dict[str, Any]]) -> None:
         self.rows = rows
@@ -76,25 +78,25 @@
 
 
 @asynccontextmanager
-async def server_and_sites(
+async def server_and_control_planes(
     reply: Reply, *versions: int
-) -> AsyncIterator[tuple[ScriptedRespServer, list[Site]]]:
-    """One server, and a site for each version of its list."""
+) -> AsyncIterator[tuple[ScriptedRespServer, list[ControlPlane]]]:
+    """Run one server, and for each version a control plane that lists it."""
     server = ScriptedRespServer(reply)
     await server.start()
-    sites = [Site(version, [server_row("s0", server.port)]) for version in versions]
-    for site in sites:
-        await site.start()
+    control_planes = [ControlPlane(version, [server_row("s0", server.port)]) for version in versions]
+    for control_plane in control_planes:
+        await control_plane.start()
     try:
-        yield server, sites
+        yield server, control_planes
     finally:
         await server.stop()
-        for site in sites:
-            await site.stop()
+        for control_plane in control_planes:
+            await control_plane.stop()
 
 
 async def wait_for_event(process: asyncio.subprocess.Process, event: bytes) -> None:
-    """Reads the process's log up to an event."""
+    """Read the log of the process up to and including the first line of an event."""
     assert process.stderr is not None
     while b"event=" + event not in await process.stderr.readline():
         pass
@@ -108,33 +110,36 @@
             await release.wait()
             return OK_RESPONSE
 
-        path, listen_port = tmp_path / "config.json", free_port()
-        async with server_and_sites(reply, 1) as (server, (site,)):
-            site.write_config(path, listen_port)
+        path = tmp_path / "config.json"
+        listen_port = free_port()
+        async with server_and_control_planes(reply, 1) as (server, (control_plane,)):
+            control_plane.write_config(path, listen_port)
             process = await start_gateway(path)
-            early = await connect_when_listening(listen_port)
-            idle = await RespClient.connect(listen_port)
-            assert await idle.execute(b"PING") == b"PONG"
-            early.send(b"CALL.POST", CUSTOMER, b"1", ORDER_FIELDS)
+            early_client = await connect_when_listening(listen_port)
+            idle_client = await RespClient.connect(listen_port)
+            assert await idle_client.execute(b"PING") == b"PONG"
+            early_client.send(b"CALL.POST", CUSTOMER, b"1", ORDER_FIELDS)
             await wait_until(lambda: len(server.received_commands()) == 1)
             process.send_signal(signal.SIGTERM)
-            late = await RespClient.connect(listen_port)
-            late.send(b"CALL.POST", CUSTOMER, b"2", ORDER_FIELDS)
+            late_client = await RespClient.connect(listen_port)
+            late_client.send(b"CALL.POST", CUSTOMER, b"2", ORDER_FIELDS)
             await wait_until(lambda: len(server.received_commands()) == 2)
-            assert await idle.closed_by_gateway()  # between requests: closed once new ones no longer come
+            # The drain closes connections that are between requests.
+            assert await idle_client.closed_by_gateway()
             release.set()
-            assert [await early.read_reply(), await late.read_reply()] == [b"value", b"value"]
-            assert await early.read_reply() is None
+            assert [await early_client.read_reply(), await late_client.read_reply()] == [b"value", b"value"]
+            assert await early_client.read_reply() is None
             assert await process.wait() == 0
 
     run_scenario(scenario())
 
 
-def test_sighup_keeps_the_configuration_in_force_where_the_file_is_malformed(tmp_path: Path) -> None:
+def test_a_reload_of_a_malformed_file_keeps_the_configuration_in_force(tmp_path: Path) -> None:
     async def scenario() -> None:
-        path, listen_port = tmp_path / "config.json", free_port()
-        async with server_and_sites(always_reply(OK_RESPONSE), 9) as (_, (site,)):
-            site.write_config(path, listen_port)
+        path = tmp_path / "config.json"
+        listen_port = free_port()
+        async with server_and_control_planes(always_reply(OK_RESPONSE), 9) as (_, (control_plane,)):
+            control_plane.write_config(path, listen_port)
             process = await start_gateway(path)
             client = await connect_when_listening(listen_port)
             assert await client.execute(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS) == b"value"
@@ -148,29 +153,31 @@
     run_scenario(scenario())
 
 
-def test_sighup_follows_the_addresses_of_the_file(tmp_path: Path) -> None:
-    """Also several in a row, after one whose file was malformed."""
+def test_reloads_apply_the_addresses_in_the_file(tmp_path: Path) -> None:
+    """Several reloads in a row are applied, also after the reload of a malformed file."""
 
     async def scenario() -> None:
-        path, listen_port = tmp_path / "config.json", free_port()
-        async with server_and_sites(always_reply(OK_RESPONSE), 9, 5, 3) as (_, sites):
-            sites[0].write_config(path, listen_port)
+        path = tmp_path / "config.json"
+        listen_port = free_port()
+        async with server_and_control_planes(always_reply(OK_RESPONSE), 9, 5, 3) as (_, control_planes):
+            control_planes[0].write_config(path, listen_port)
             process = await start_gateway(path)
             client = await connect_when_listening(listen_port)
             path.write_text("{")
             process.send_signal(signal.SIGHUP)
             await wait_for_event(process, b"config_reload_failed error=")
-            for site in sites[1:]:
-                site.write_config(path, listen_port)
+            for control_plane in control_planes[1:]:
+                control_plane.write_config(path, listen_port)
                 process.send_signal(signal.SIGHUP)
                 await wait_for_event(process, b"config_reloaded")
-            discovery, counter = sites[2].discovery, sites[2].counter
+            discovery = control_planes[2].discovery
+            counter = control_planes[2].counter
             await wait_until(lambda: len(discovery.targets) > 1 and len(counter.writers) == CONNECTION_COUNT)
             assert discovery.targets[0] == "/v1/servers"
             assert "since=3&" in discovery.targets[1]
-            ids = (b"%016x" % number for number in range(100, 10_000))
+            request_ids = (b"%016x" % number for number in range(100, 10_000))
             while not counter.received_commands():
-                assert await client.execute(b"CALL.GET", CUSTOMER, next(ids), READ_FIELDS) == b"value"
+                assert await client.execute(b"CALL.GET", CUSTOMER, next(request_ids), READ_FIELDS) == b"value"
                 await asyncio.sleep(0.01)
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
--- a/tests/network/test_start.py
+++ b/tests/network/test_start.py
@@ -1,4 +1,7 @@
-"""What a start costs, which bounds how soon a process is ready on its share of a core."""
+"""The start of a gateway process: its processor time, and the port of a killed process.
+
+The processor time of a start determines how soon a process with a small share of a core is ready.
+"""
 
 from __future__ import annotations
 
@@ -19,12 +22,12 @@
     server_row,
 )
 
-READY_S = 10.0  # nine in ten restarted processes are ready within this
-MIN_CORE_SHARE = 0.1  # a start may thus take a second of processor time
+READY_TARGET_S = 10.0  # nine of ten restarted processes must be ready within this time
+MIN_CORE_SHARE = 0.1  # share of a core that a process gets; a start may use 1 s of processor time
 
 
 def processor_time_s(pid: int) -> float:
-    """Processor time of a process so far."""
+    """Return the processor time that a process has used so far, in user and kernel mode."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -37,7 +40,8 @@
         counter = ScriptedRespServer(always_reply(b"+PONG\r\n"))
         discovery = ScriptedDiscovery(endpoint_list_response(2, rows))
         await counter.start()
-        listen_port, discovery_port = free_port(), free_port()
+        listen_port = free_port()
+        discovery_port = free_port()
         if discovery_up:
             await discovery.start(discovery_port)
         path = tmp_path / "config.json"
@@ -45,7 +49,7 @@
         async with limited_gateway(path, 1024) as process:
             client = await connect_when_listening(listen_port)
             assert await client.execute(b"PING") == b"PONG"
-            assert processor_time_s(process.pid) < READY_S * MIN_CORE_SHARE
+            assert processor_time_s(process.pid) < READY_TARGET_S * MIN_CORE_SHARE
         for peer in (counter, discovery):
             await peer.stop()
 
@@ -53,7 +57,7 @@
 
 
 def test_a_start_takes_over_the_port_of_a_killed_process_at_once(tmp_path: Path) -> None:
-    """The kernel still holds connections of the killed process."""
+    """The new process can listen although the kernel still holds connections of the killed process."""
 
     async def scenario() -> None:
         listen_port = free_port()
