--- a/quota_gateway/network/counter_client.py
+++ b/quota_gateway/network/counter_client.py
@@ -59,7 +59,7 @@
         if not connection.is_ready():
             call.complete(now, CallOutcome.UNREACHABLE)  # no call was written, so none can have been counted
             return
-        call.timeout = self._loop.call_later(self.timeout_s, connection.time_out, call)
+        call.timeout_timer = self._loop.call_later(self.timeout_s, connection.time_out, call)
         connection.send(_encode_increment(key, amount, ttl_ms), call)
 
     def _abandon_draining_calls(self, key: int) -> None:
@@ -80,8 +80,8 @@
 def _encode_increment(key: int, amount: float, ttl_ms: float) -> bytes:
     """Encode INCRTTL.
 
-    The key is encoded in decimal, so that all gateways use the same name for it. The policy rounds amounts to
-    three decimal places, so none is lost here.
+    The key is encoded in decimal, so that all gateways use the same name for it. The amount is encoded with
+    three decimal places, to which the policy has rounded it.
     """
     ttl = max(1, min(MAX_TTL_MS, round(ttl_ms)))
     return resp.encode_command(b"INCRTTL", b"%d" % key, b"%.3f" % amount, b"%d" % ttl)
--- a/quota_gateway/network/counter_connection.py
+++ b/quota_gateway/network/counter_connection.py
@@ -51,22 +51,22 @@
 class PendingCall:
     """A call that waits for its reply. `key` is None for a heartbeat, which has no caller."""
 
-    __slots__ = ("_on_complete", "key", "sent_at", "timeout")
+    __slots__ = ("_on_complete", "key", "sent_at", "timeout_timer")
 
     def __init__(
         self, sent_at: float, key: int | None = None, on_complete: CompletionCallback | None = None
     ) -> None:
         self.key = key
         self.sent_at = sent_at
-        self.timeout: asyncio.TimerHandle | None = None
+        self.timeout_timer: asyncio.TimerHandle | None = None
         self._on_complete = on_complete
 
     def complete(self, now: float, outcome: CallOutcome, total: float = 0.0) -> None:
         """Cancel the timeout and report the outcome, unless an outcome was reported before."""
         on_complete, self._on_complete = self._on_complete, None
-        if self.timeout is not None:
-            self.timeout.cancel()
-            self.timeout = None
+        if self.timeout_timer is not None:
+            self.timeout_timer.cancel()
+            self.timeout_timer = None
         if on_complete is not None:
             on_complete(total, outcome, 1000.0 * (now - self.sent_at))
 
@@ -86,8 +86,8 @@
         self._parser = resp.Parser()
         self._last_written_at = 0.0
         self._connect_task: asyncio.Task[None] | None = None
-        self._reconnect: asyncio.Handle | None = None  # the scheduled attempt to connect, if any
-        self._heartbeat = loop.call_later(HEARTBEAT_INTERVAL_S, self._check_heartbeat)
+        self._reconnect_handle: asyncio.Handle | None = None  # the scheduled attempt to connect, if any
+        self._heartbeat_timer = loop.call_later(HEARTBEAT_INTERVAL_S, self._check_heartbeat)
         self._start_connecting()
 
     # --- calls -------------------------------------------------------------------------------------------
@@ -129,7 +129,7 @@
     def close(self) -> None:
         """Close the connection permanently."""
         self.state = ConnectionState.CLOSED
-        self._heartbeat.cancel()
+        self._heartbeat_timer.cancel()
         if self._connect_task is not None:
             self._connect_task.cancel()
         self._abort()
@@ -148,18 +148,18 @@
         connection and as a failed attempt. Two attempts would then open two connections and mix up their
         replies.
         """
-        if self._reconnect is not None:
+        if self._reconnect_handle is not None:
             return
-        delay = self.reconnect_delay_s
-        if not delay:
+        delay_s = self.reconnect_delay_s
+        if not delay_s:
             self.reconnect_delay_s = MIN_RECONNECT_DELAY_S
-            self._reconnect = self._loop.call_soon(self._start_connecting)
+            self._reconnect_handle = self._loop.call_soon(self._start_connecting)
             return
-        self.reconnect_delay_s = min(MAX_RECONNECT_DELAY_S, 2.0 * delay)
-        self._reconnect = self._loop.call_later(delay, self._start_connecting)
+        self.reconnect_delay_s = min(MAX_RECONNECT_DELAY_S, 2.0 * delay_s)
+        self._reconnect_handle = self._loop.call_later(delay_s, self._start_connecting)
 
     def _start_connecting(self) -> None:
-        self._reconnect = None
+        self._reconnect_handle = None
         if self.state not in _STATES_WITHOUT_RECONNECT:
             self._connect_task = self._loop.create_task(self._connect())
 
@@ -199,7 +199,7 @@
         calls, self.pending_calls = self.pending_calls, deque()
         if self.state in _STATES_WITHOUT_RECONNECT:
             self.state = ConnectionState.CLOSED
-            self._heartbeat.cancel()
+            self._heartbeat_timer.cancel()
         else:
             self.state = ConnectionState.CONNECTING
             self.reconnect()
@@ -214,7 +214,7 @@
         """
         if not self.pending_calls:
             raise resp.ProtocolError("the counter sent a reply without a pending call")
-        outcome, total = _classify_reply(reply, heartbeat=self.pending_calls[0].key is None)
+        outcome, total = _classify_reply(reply, is_heartbeat=self.pending_calls[0].key is None)
         self.reconnect_delay_s = 0.0
         self.pending_calls.popleft().complete(self._loop.time(), outcome, total)
 
@@ -222,7 +222,7 @@
 
     def _check_heartbeat(self) -> None:
         """Send a heartbeat before the counter closes the connection as idle; abort if the peer is silent."""
-        self._heartbeat = self._loop.call_later(HEARTBEAT_CHECK_INTERVAL_S, self._check_heartbeat)
+        self._heartbeat_timer = self._loop.call_later(HEARTBEAT_CHECK_INTERVAL_S, self._check_heartbeat)
         if self._transport is None:
             return
         now = self._loop.time()
@@ -242,12 +242,12 @@
         self._transport.write(command)
 
 
-def _classify_reply(reply: object, heartbeat: bool) -> tuple[CallOutcome, float]:
+def _classify_reply(reply: object, is_heartbeat: bool) -> tuple[CallOutcome, float]:
     """Return the outcome of a call and the total of its key; raises `resp.ProtocolError`.
 
     The total is 0 for a heartbeat and for a rejected call.
     """
-    if heartbeat:
+    if is_heartbeat:
         if reply != "PONG":
             raise resp.ProtocolError(f"expected PONG in reply to a heartbeat, got {reply!r}")
         return CallOutcome.OK, 0.0
--- a/quota_gateway/network/discovery/endpoint_list.py
+++ b/quota_gateway/network/discovery/endpoint_list.py
@@ -21,7 +21,7 @@
 INCREMENTAL_PARSE_MIN_BYTES = 128 * 1024
 ENDPOINTS_PER_STEP = 250
 
-STATE_NAMES = {
+STATES_BY_NAME = {
     "Ready": EndpointState.ACTIVE,
     "Terminating": EndpointState.DRAINING,
     "Gone": EndpointState.GONE,
@@ -184,7 +184,7 @@
         cell=int(row.get("cell") or 0),
         weight=float(row.get("weight") or 1.0),
         started_ms=float(row.get("started_ms") or 0.0),
-        state=STATE_NAMES.get(str(row.get("state")), EndpointState.DRAINING),
+        state=STATES_BY_NAME.get(str(row.get("state")), EndpointState.DRAINING),
     )
 
 
--- a/quota_gateway/network/discovery/poll_schedule.py
+++ b/quota_gateway/network/discovery/poll_schedule.py
@@ -46,14 +46,14 @@
 MAX_BACKOFF_S = 1.0
 
 # A shared service takes 0.44 s to build a snapshot of 60 endpoints, and it also works on polls whose callers
-# have given up. Gateways that it rejects spread their next polls so that together they send one poll per
-# spacing interval. While the deadline can still be met, the spread is cut down to the time left until it.
-# Polls that became denser towards the deadline and stayed so after it overloaded the service: 36 of 40
-# gateways had no list, for 323 s in total.
+# have given up. Gateways that it rejects spread their next polls, so that together they poll no faster than
+# it can respond. While the deadline can still be met, the spread is limited to the time left until it. When
+# polls became denser towards the deadline and stayed so after it, the overloaded service could answer nobody:
+# 36 of 40 gateways had no list, for 323 s in total.
 POLL_SPACING_PER_GATEWAY_S = 0.5
 MAX_POLL_SPREAD_S = 30.0
 
-# The fractional parts of its first n multiples are spread evenly over 0 to 1 for every n.
+# Multiples of this number, modulo 1, are spread evenly over 0 to 1, however many there are.
 GOLDEN_RATIO_CONJUGATE = 0.5 * (5.0**0.5 - 1.0)
 
 log = logging.getLogger("quota_gateway")
@@ -175,5 +175,5 @@
         return self._phase * spread_s
 
     def _format_age_s(self) -> str:
-        """Return the time since the list was last confirmed, in seconds, for a log field."""
+        """Return the seconds since the list was last confirmed, formatted for a log field."""
         return f"{NOTIFICATION_DEADLINE_S - self.remaining_s():.1f}"
--- a/quota_gateway/network/discovery/watch.py
+++ b/quota_gateway/network/discovery/watch.py
@@ -55,9 +55,8 @@
         self._polled_at = 0.0
         self._connect_task: asyncio.Task[None] | None = None
         self._parse_task: asyncio.Task[None] | None = None
-        self._timer: asyncio.TimerHandle | None = (
-            None  # response timeout, next poll or next attempt to connect
-        )
+        # Fires at the response timeout, the next poll or the next attempt to connect.
+        self._timer: asyncio.TimerHandle | None = None
 
     def start(self, version: int | None = None) -> None:
         """Connect, then poll for changes since `version`; None stands for the version held."""
--- a/quota_gateway/network/resp.py
+++ b/quota_gateway/network/resp.py
@@ -15,11 +15,11 @@
 
 MAX_BULK_BYTES = 64 * 1024  # longest value that the protocol allows
 MAX_MESSAGE_BYTES = 2 * MAX_BULK_BYTES  # limit on the bytes buffered for one incomplete message
-MAX_STATUS_BYTES = 1024  # length of a status or error line
-MAX_HEADER_BYTES = 24  # length of a line that holds an integer or the length of a string or array
+MAX_STATUS_BYTES = 1024  # longest status or error line
+MAX_HEADER_BYTES = 24  # longest line that holds an integer or the length of a string or array
 MAX_ARRAY_ITEMS = 99  # the messages of the protocol have at most five
 MAX_ARRAY_DEPTH = 2  # the response of a server is an array that holds one nested array: the usage figures
-MAX_ERROR_TEXT_CHARS = 200  # length of the text in an error that the gateway sends
+MAX_ERROR_TEXT_CHARS = 200  # longest text in an error that the gateway sends
 
 PONG = b"+PONG\r\n"
 OK = b"+OK\r\n"
--- a/tests/network/test_counter_connection.py
+++ b/tests/network/test_counter_connection.py
@@ -14,6 +14,7 @@
 
 
 def state(connection: CounterConnection) -> ConnectionState:
+    """Return the state; unlike an attribute, mypy does not narrow its type after an assertion."""
     return connection.state
 
 
--- a/tests/network/test_poll_schedule.py
+++ b/tests/network/test_poll_schedule.py
@@ -32,6 +32,7 @@
 
 
 def freshness(schedule: PollSchedule) -> Freshness:
+    """Return the freshness; unlike an attribute, mypy does not narrow its type after an assertion."""
     return schedule.freshness
 
 
