--- a/quota_gateway/network/counter_connection.py
+++ b/quota_gateway/network/counter_connection.py
@@ -164,9 +164,9 @@
             self._connect_task = self._loop.create_task(self._connect())
 
     async def _connect(self) -> None:
-        opening = self._loop.create_connection(lambda: self, *self._address)
+        connection_attempt = self._loop.create_connection(lambda: self, *self._address)
         try:
-            await asyncio.wait_for(opening, CONNECT_TIMEOUT_S)
+            await asyncio.wait_for(connection_attempt, CONNECT_TIMEOUT_S)
         except (OSError, TimeoutError):
             self.reconnect()
 
--- a/quota_gateway/network/discovery/watch.py
+++ b/quota_gateway/network/discovery/watch.py
@@ -125,15 +125,16 @@
             lambda: self.on_connection_closed(connection),
         )
         self.connection = connection
-        opening = self._loop.create_connection(lambda: connection, *self._address)
+        connection_attempt = self._loop.create_connection(lambda: connection, *self._address)
         try:
-            await asyncio.wait_for(opening, CONNECT_TIMEOUT_S)
+            await asyncio.wait_for(connection_attempt, CONNECT_TIMEOUT_S)
         except (OSError, TimeoutError):
             self.on_connection_closed(connection)
             return
         self.poll()
 
     def _apply(self, status: int, body: bytes) -> None:
+        """Parse and apply a short list at once; request a snapshot if the response holds no usable list."""
         try:
             if status != HTTP_OK:
                 raise EndpointListError(f"expected HTTP status {HTTP_OK}, got {status}")
