--- a/tests/network/simulated_discovery.py
+++ b/tests/network/simulated_discovery.py
@@ -116,7 +116,7 @@
         self.watch.start(1)
 
     def refuse_connection(self) -> bool:
-        """Return whether the next outcome is "refused", which ends a poll before it has a connection."""
+        """Consume the next outcome if it is "refused", which ends a poll before it has a connection."""
         if self.outcomes[:1] != ["refused"]:
             return False
         self.outcomes.pop(0)
