--- a/quota_gateway/lab/simulation/metrics.py
+++ b/quota_gateway/lab/simulation/metrics.py
@@ -1,7 +1,7 @@
-"""What a run counts, by role.
+"""Counters and histograms of one run.
 
-All but `ProcessorTime` is the same for the same seed on any machine. The values of the enumerations are the
-keys of result files.
+All of them except `ProcessorTime` depend only on the experiment and the seed, not on the machine. The values
+of the enumerations are keys of result files.
 """
 
 from __future__ import annotations
@@ -14,13 +14,15 @@
 from hdrh.histogram import HdrHistogram
 
 MAX_RECORDED_US = 60_000_000
-MAX_UNFLUSHED_VALUES = 50_000  # distinct values that a histogram holds back from the library
+MAX_UNFLUSHED_VALUES = (
+    50_000  # Distinct values that a histogram buffers before it writes them to HdrHistogram.
+)
 SIGNIFICANT_FIGURES = 2
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 class ServiceCount(StrEnum):
-    """What became of clients' requests and attempts; revenue is units times price."""
+    """Outcomes of clients' requests and attempts, and the revenue from them (units times price)."""
 
     FIRST_ATTEMPTS = "first_tries"
     FIRST_ATTEMPTS_WITHIN_QUOTA = "first_tries_inside"
@@ -40,29 +42,31 @@
 
 
 class QuotaCount(StrEnum):
-    """Attempts, and their units, against the customers' true quotas."""
+    """Attempts and units within and over the customers' true quotas."""
 
     ATTEMPTS_WITHIN_QUOTA = "tries_inside"
     ATTEMPTS_OVER_QUOTA = "tries_beyond"
     UNITS_WITHIN_QUOTA = "units_inside"
     UNITS_OVER_QUOTA = "units_beyond"
     REJECTED = "refused"
-    REJECTED_UNNECESSARILY = "refused_with_room"  # half of the quota's burst or more was unused
+    REJECTED_UNNECESSARILY = "refused_with_room"  # At least half of the quota's burst was unused.
 
 
 class RuleViolation(StrEnum):
-    """Breaches of the rules that WIRE and the letter set."""
+    """Violations of the rules that the simulator wire specification and the capacity target set."""
 
-    LATE_AFTER_DRAIN_NOTICE = "late_drains_told"  # an attempt to a draining server that the gateway knew of
-    LATE_AFTER_NOTICE_DEADLINE = "late_drains_deemed"  # ... that it should have known of
+    # Attempts to a draining server after the grace period that follows the gateway's notice of the drain.
+    LATE_AFTER_DRAIN_NOTICE = "late_drains_told"
+    # Attempts to a draining server by a gateway without a notice that should have had one by then.
+    LATE_AFTER_NOTICE_DEADLINE = "late_drains_deemed"
     HARD_LIMIT_EXCEEDED = "ceiling_overruns"
     ATTEMPT_AFTER_DISCONNECT = "sent_after_client_left"
     ATTEMPT_WITHOUT_REQUEST = "sent_without_request"
-    CUT_BY_DRAIN = "cut_by_drain"  # requests that a server still held when its drain period ended
+    CUT_BY_DRAIN = "cut_by_drain"  # Requests that a server still held when its drain period ended.
 
 
 class Role(StrEnum):
-    """Parties whose messages are counted."""
+    """Components whose messages are counted."""
 
     GATEWAY = "gateway"
     SERVER = "server"
@@ -71,12 +75,12 @@
 
 
 class Message(StrEnum):
-    """Kinds of messages and of work for them."""
+    """Kinds of messages, and of the work that they cause."""
 
     REQUESTS = "requests"
     ATTEMPTS = "attempts"
-    VALUES = "values"  # responses of servers
-    WASTED = "wasted"  # requests completed that nobody waited for
+    VALUES = "values"  # Responses of servers.
+    WASTED = "wasted"  # Requests that a server completed after they were cancelled.
     UNREACHABLE = "unreachable"
     HANDSHAKES = "handshakes"
     CALLS = "calls"
@@ -92,27 +96,31 @@
 
 
 class Histogram:
-    """Times in microseconds, to two significant figures."""
+    """A histogram of durations in microseconds, with two significant figures."""
 
     def __init__(self) -> None:
         self._histogram = HdrHistogram(1, MAX_RECORDED_US, SIGNIFICANT_FIGURES)
-        self._unflushed: Counter[int] = Counter()  # recorded in one go: the library's call is slow
+        # Buffers values, because a call of HdrHistogram for each value is slow.
+        self._unflushed: Counter[int] = Counter()
 
     def record(self, microseconds: float) -> None:
-        """Record one time."""
+        """Record one duration; values outside 1 us to 60 s are clamped."""
         self._unflushed[min(MAX_RECORDED_US, max(1, round(microseconds)))] += 1
         if len(self._unflushed) > MAX_UNFLUSHED_VALUES:
             self._flush()
 
     def report(self) -> dict[str, float]:
-        """Return milliseconds by percentile, with the count, mean and maximum."""
+        """Return count, mean, percentiles and maximum, in ms; only the count if nothing was recorded."""
         self._flush()
         histogram = self._histogram
         count = histogram.get_total_count()
         if not count:
             return {"count": 0}
         report = {"count": count, "mean": round(histogram.get_mean_value() / 1000.0, 4)}
-        report |= {f"p{p:g}": histogram.get_value_at_percentile(p) / 1000.0 for p in PERCENTILES}
+        report |= {
+            f"p{percentile:g}": histogram.get_value_at_percentile(percentile) / 1000.0
+            for percentile in PERCENTILES
+        }
         return report | {"max": histogram.get_max_value() / 1000.0}
 
     def _flush(self) -> None:
@@ -122,9 +130,10 @@
 
 
 def overload_limit(budget: float) -> float:
-    """Return the calls in a window beyond which a server that is warming up fails, for a budget of N calls.
+    """Return the number of calls in the overload window above which a server that is warming up fails.
 
-    That many by chance are allowed on top of N: N + 2 sqrt(N) + 2 (letter of 2026-12-02).
+    The limit for a budget of N calls is N + 2 sqrt(N) + 2, as the capacity target defines it. The excess over
+    N is a safety margin for random arrivals: two standard deviations of a Poisson process, and two calls.
     """
     deviation: float = budget**0.5
     return budget + 2.0 * deviation + 2.0
@@ -132,21 +141,32 @@
 
 @dataclass(slots=True)
 class ColdServerFailure:
-    """A server that was warming up and failed from overload."""
+    """Failure of a server from overload during its warm-up.
+
+    Attributes:
+        at_ms: simulated time of the failure, ms.
+        server: name of the server.
+        calls: calls that the server received in the overload window before the failure.
+        budget: calls that the server's capacity at that time allows in one overload window.
+        calls_after_notice: those of `calls` from gateways that had been notified of the server's start.
+    """
 
     at_ms: float
     server: str
-    calls: int  # in the overload window
-    budget: float  # calls that its present capacity allows in the window
-    calls_after_notice: int  # of the calls, those from gateways that had been notified of the start
+    calls: int
+    budget: float
+    calls_after_notice: int
 
     @property
     def rule_broken(self) -> bool:
-        """Whether two thirds of the calls came from gateways that knew (WIRE rule 4)."""
+        """Whether gateways broke the slow-start rule.
+
+        They did if at least two thirds of the calls came from gateways that had been notified of the start.
+        """
         return 3 * self.calls_after_notice >= 2 * self.calls
 
     def report(self) -> dict[str, Any]:
-        """Return the failure for a result file; `excess` is over budget and chance."""
+        """Return the failure for a result file; `excess` is the number of calls above `overload_limit`."""
         return {
             "at_ms": round(self.at_ms, 1),
             "server": self.server,
@@ -168,36 +188,50 @@
 
 @dataclass(slots=True)
 class Metrics:
-    """Counts of one run."""
+    """Counts of one run.
+
+    Attributes:
+        service: counts by `ServiceCount`.
+        revenue: sums of units times price by `ServiceCount`.
+        quota: counts by `QuotaCount`.
+        violations: counts by `RuleViolation`.
+        messages: number of messages by `Role`, then by kind.
+        message_bytes: sizes of messages by `Role`, then by kind.
+        attempt_outcomes: completed attempts of gateways at servers by `CallOutcome`.
+        log_lines: log events of the policy by name and state, and injected faults.
+        cold_failures: failures of servers from overload during their warm-up.
+        peak_cold_load: largest ratio, over all warming servers, of the calls in a window to `overload_limit`.
+        wait_us: time from the arrival of an attempt at a gateway to its first forwarding or its rejection.
+        response_us: time from a request's first attempt to the answer that served it.
+        recovery_us: time from a gateway's restart to its first answer from discovery.
+    """
 
-    service: Counter[str] = field(default_factory=Counter)  # by ServiceCount
-    revenue: defaultdict[str, float] = field(default_factory=lambda: defaultdict(float))  # by ServiceCount
-    quota: Counter[str] = field(default_factory=Counter)  # by QuotaCount
-    violations: Counter[str] = field(default_factory=Counter)  # by RuleViolation
+    service: Counter[str] = field(default_factory=Counter)
+    revenue: defaultdict[str, float] = field(default_factory=lambda: defaultdict(float))
+    quota: Counter[str] = field(default_factory=Counter)
+    violations: Counter[str] = field(default_factory=Counter)
     messages: defaultdict[str, Counter[str]] = field(default_factory=_counter_by_role)
     message_bytes: defaultdict[str, Counter[str]] = field(default_factory=_counter_by_role)
     attempt_outcomes: Counter[str] = field(default_factory=Counter)
     log_lines: Counter[str] = field(default_factory=Counter)
     cold_failures: list[ColdServerFailure] = field(default_factory=list)
-    peak_cold_load: float = 0.0  # most calls of a warming server in a window, as a share of its limit
-    wait_us: Histogram = field(
-        default_factory=Histogram
-    )  # from a request to its first forwarding or rejection
-    response_us: Histogram = field(default_factory=Histogram)  # from a first attempt to its served answer
-    recovery_us: Histogram = field(default_factory=Histogram)  # from a gateway's restart to a current list
+    peak_cold_load: float = 0.0
+    wait_us: Histogram = field(default_factory=Histogram)
+    response_us: Histogram = field(default_factory=Histogram)
+    recovery_us: Histogram = field(default_factory=Histogram)
 
     def count_message(self, role: Role, kind: str, size: int = 0) -> None:
-        """Count a message of a role, with its size in bytes."""
+        """Count a message of a role; `size` in bytes is added to `message_bytes` unless it is 0."""
         self.messages[role][kind] += 1
         if size:
             self.message_bytes[role][kind] += size
 
     def total_bytes(self, role: Role) -> int:
-        """Return the bytes of all messages of a role."""
+        """Return the size of all messages of a role together, bytes."""
         return sum(self.message_bytes[role].values()) if role in self.message_bytes else 0
 
     def violation_counts(self) -> Counter[str]:
-        """Return the count of each breach of a rule, those that did not occur too."""
+        """Return the count of each kind of rule violation, including zero counts."""
         counts: Counter[str] = Counter(dict.fromkeys(RuleViolation, 0))
         counts.update(self.violations)
         counts["requests_lost"] = self.service[ServiceCount.UNANSWERED]
@@ -225,26 +259,34 @@
 
 @dataclass(slots=True)
 class ProcessorTime:
-    """Processor time of the policy, by type of event. It depends on the machine and on its other load."""
+    """Processor time of the policy by event type. It depends on the machine and on its other load.
+
+    Attributes:
+        nanoseconds: processor time by class name of the event.
+        events: number of events by class name.
+        decision_us: processor time of each `Request` event.
+        added_us: latency that a gateway adds to an attempt until its first forwarding or its rejection: the
+            simulated wait and the processor time of the policy.
+    """
 
     nanoseconds: Counter[str] = field(default_factory=Counter)
     events: Counter[str] = field(default_factory=Counter)
-    decision_us: Histogram = field(default_factory=Histogram)  # of one `Request` event
-    added_us: Histogram = field(default_factory=Histogram)  # simulated wait and processor time to forwarding
+    decision_us: Histogram = field(default_factory=Histogram)
+    added_us: Histogram = field(default_factory=Histogram)
 
     def record(self, event_type: str, nanoseconds: int) -> None:
-        """Record one call of the policy's `handle`."""
+        """Record the processor time of one call of the policy's `handle`."""
         self.nanoseconds[event_type] += nanoseconds
         self.events[event_type] += 1
         if event_type == "Request":
             self.decision_us.record(nanoseconds / 1000.0)
 
     def total_ns(self) -> int:
-        """Return the processor time of all events, ns."""
+        """Return the processor time of all events together, ns."""
         return sum(self.nanoseconds.values())
 
     def report(self) -> dict[str, Any]:
-        """Return seconds, and microseconds an event, by type of event."""
+        """Return the figures for a result file: total seconds, figures by event type, histograms in ms."""
         return {
             "module_s": round(self.total_ns() / 1e9, 3),
             "by_event": {
