--- a/quota_gateway/lab/simulation/experiment.py
+++ b/quota_gateway/lab/simulation/experiment.py
@@ -1,8 +1,9 @@
-"""An experiment: what is simulated, read from a TOML file and checked whole before anything runs.
+"""The experiment file: the records that it is decoded into, with their defaults.
 
-Ranges are [low, high]; the seed draws a figure from each. Sources of the defaults are named beside them:
-brief, BENCH, PROTOCOL, DEPLOY and WIRE are pages of the operators, "the letter" is theirs of 2026-12-02;
-"assumed" stands where none of them says. `experiment_keys` has the names that these fields had formerly.
+A range is [low, high]; values are drawn from it with the seed of the run. The defaults describe the
+deployment of today. Comments give the figures of the capacity target, and the ranges that the operators'
+bench uses ("on the bench"), where they differ from the default. `experiment_validation` checks an experiment
+before it runs, and `experiment_keys` has the former names of the keys.
 """
 
 from __future__ import annotations
@@ -20,127 +21,135 @@
 
 
 class FleetConfig(Table, frozen=True):
-    """Sizes. Everything is split into `servers / visible_servers` pools that do not know of each other."""
+    """Sizes of the fleet.
+
+    Servers, gateways and tenants are split into `servers / visible_servers` pools that do not know of each
+    other.
+    """
 
     gateways: PositiveInt
     servers: PositiveInt
-    visible_servers: PositiveInt | None = None  # in the endpoint list of one gateway; absent: all
-    regions: SmallInt = 1  # brief 1.3: one site; the letter: 6
-    zones: SmallInt = 1  # the letter: 23
+    visible_servers: PositiveInt | None = None  # Servers in the endpoint list of one gateway; None: all.
+    regions: SmallInt = 1  # One site today; the capacity target has 6.
+    zones: SmallInt = 1  # The capacity target has 23.
 
 
 class LoadConfig(Table, frozen=True):
-    """The demand of all clients together."""
-
-    requests_per_s: PositiveFloat  # first attempts; brief 1.1: about 120; the letter: 210,000
-    sampled_share: Annotated[float, Meta(gt=0, le=1)] = (
-        1.0  # of the tenants, and so of the requests, simulated
-    )
-    tenants: PositiveInt = 200  # the letter: 87,000
-    # Within a plan; 0.5 puts about one tenant in twelve beyond its quota, brief 4.9.
+    """Demand of all clients together."""
+
+    requests_per_s: PositiveFloat  # First attempts; about 120 today, 210,000 in the capacity target.
+    # Share of the tenants, and so of the requests, that is simulated.
+    sampled_share: Annotated[float, Meta(gt=0, le=1)] = 1.0
+    tenants: PositiveInt = 200  # The capacity target has 87,000.
+    # Exponent of the Zipf distribution of demand over the tenants of a plan. With 0.5 about one tenant in
+    # twelve is over its quota.
     zipf_exponent: Exponent = 0.5
-    quota_utilization: Annotated[float, Meta(gt=0, le=5)] = 0.5  # demand by the sum of quotas; BENCH calm_use
-    max_quota_utilization: PositiveFloat = 8.0  # of one tenant, brief 4.9
-    heavy_share: Share = 0.0  # of tenants that ask for far more than their quota; BENCH 0.04 to 0.12 ...
-    heavy_factor: Range = (1.6, 5.0)  # ... namely this many times it, BENCH
-    spiky_share: Share = 0.0  # of tenants that do so now and then; BENCH 0.1 to 0.25 ...
-    spike_factor: Range = (2.0, 8.0)  # ... namely this many times their quota, BENCH ...
-    spike_duration_s: Range = (0.5, 5.0)  # ... for so long, BENCH ...
-    spike_interval_s: Range = (10.0, 25.0)  # ... once in this time, BENCH
-    gateways_per_tenant: tuple[SmallInt, SmallInt] = (2, 4)  # brief 4.7
-    gateway_weight_exponent: Exponent = 1.0  # of a tenant's weights for its gateways (4.8); BENCH 0.3 to 1.5
-    gateway_weight_shift_s: Range = (7.1, 21.0)  # these weights move to other gateways this often, brief 4.8
-    max_units: SmallInt = 8  # of a request, brief 4.6
+    # Total demand as a share of the sum of all quotas.
+    quota_utilization: Annotated[float, Meta(gt=0, le=5)] = 0.5
+    max_quota_utilization: PositiveFloat = 8.0  # Limit of one tenant's demand, as a multiple of its quota.
+    heavy_share: Share = 0.0  # Share of tenants far over their quota; 0.04 to 0.12 on the bench.
+    heavy_factor: Range = (1.6, 5.0)  # Demand of a heavy tenant, as a multiple of its quota.
+    spiky_share: Share = 0.0  # Share of tenants with spikes of demand; 0.1 to 0.25 on the bench.
+    spike_factor: Range = (2.0, 8.0)  # Demand during a spike, as a multiple of the tenant's quota.
+    spike_duration_s: Range = (0.5, 5.0)
+    spike_interval_s: Range = (10.0, 25.0)  # Time between the starts of two spikes of a tenant.
+    gateways_per_tenant: tuple[SmallInt, SmallInt] = (2, 4)
+    # Zipf exponent of a tenant's weights for its gateways; 0.3 to 1.5 on the bench.
+    gateway_weight_exponent: Exponent = 1.0
+    # Interval after which a tenant's weights move on to others of its gateways.
+    gateway_weight_shift_s: Range = (7.1, 21.0)
+    max_units: SmallInt = 8  # Largest number of units of one request.
 
 
 class ClientConfig(Table, frozen=True):
-    """Habits of clients."""
+    """Time-outs, retries and disconnects of clients."""
 
-    max_retries: Annotated[int, Meta(ge=0, le=20)] = 3  # brief 6.1
-    retry_after_share: Share = (
-        0.7  # of retries that honour a Retry-After; "some clients" (WIRE `bounce`), assumed
-    )
-    backoff_ms: Range = (0.0, 400.0)  # before the other retries: at once or after a wait, brief 6.1
-    latency_objective_ms: PositiveFloat = 1000.0  # brief 5
-    deadline_ms: PositiveFloat = 2500.0  # of a request with all its retries, brief 5
-    timeout_share: tuple[Share, Share] = (0.5, 1.0)  # an attempt's time-out, by the deadline; brief 6.2
-    disconnect_share: Share = 0.02  # of the attempts whose client disconnects unless answered ...; assumed
-    disconnect_after_ms: Range = (0.0, 500.0)  # ... within this; assumed
-    failover_ms: Range = (1200.0, 3200.0)  # requests go on coming to a dead gateway for so long, brief 1.4
+    max_retries: Annotated[int, Meta(ge=0, le=20)] = 3
+    retry_after_share: Share = 0.7  # Share of retries that honour a retry-after; only some clients do.
+    backoff_ms: Range = (0.0, 400.0)  # Wait before all other retries; 0 means an immediate retry.
+    latency_objective_ms: PositiveFloat = 1000.0
+    deadline_ms: PositiveFloat = 2500.0  # Deadline of a request including all its retries.
+    timeout_share: tuple[Share, Share] = (0.5, 1.0)  # Time-out of one attempt, as a share of `deadline_ms`.
+    disconnect_share: Share = 0.02  # Share of attempts whose client does not wait for the answer.
+    disconnect_after_ms: Range = (0.0, 500.0)  # Time after which such a client disconnects.
+    failover_ms: Range = (1200.0, 3200.0)  # Time for which requests still go to a gateway that has died.
 
 
 class ServerConfig(Table, frozen=True):
-    """The one kind of server that there is."""
-
-    cores: SmallInt = 2  # brief 3.1
-    queue_capacity: Annotated[int, Meta(ge=0, le=1_000_000)] = 32  # beyond it requests are rejected; assumed
-    service_time_ms: Range = (80.0, 140.0)  # of a mean request on one warm core, brief 5
-    service_time_variation: Exponent = 0.3  # coefficient of variation of the work for one unit; assumed
-    initial_capacity_share: Share = 0.17  # brief 8.2
-    warm_up_ms: PositiveFloat = 18000.0  # brief 8.2
-    overload_factor: PositiveFloat = 3.0  # brief 8.2
-    overload_window_ms: PositiveFloat = 3000.0  # brief 8.2
-    drain_grace_ms: NonNegativeFloat = 250.0  # brief 8.1
-    drain_period_ms: NonNegativeFloat = 4000.0  # from draining to gone; BENCH shrink: 2 to 6 s
-    startup_ms: Range = (1000.0, 3000.0)  # from the order to the first request; assumed
-    error_share: Share = 0.0  # not simulated; files of before may hold it
-    connect_timeout_ms: PositiveFloat = 250.0  # WIRE settings
-    idle_timeout_ms: PositiveFloat = 15000.0  # a connection idle for this long is closed, WIRE settings
-    cancels_running_work: bool = False  # whether cancelled work that runs stops; both occur, brief 3.2
+    """Properties of the servers, which are all of one kind."""
+
+    cores: SmallInt = 2
+    queue_capacity: Annotated[int, Meta(ge=0, le=1_000_000)] = 32  # Requests that do not fit are rejected.
+    service_time_ms: Range = (80.0, 140.0)  # Mean work of a request on one core of a warm server.
+    service_time_variation: Exponent = 0.3  # Coefficient of variation of the work per unit.
+    initial_capacity_share: Share = 0.17  # Capacity of a server at its start, as a share of a warm server's.
+    warm_up_ms: PositiveFloat = 18000.0
+    # Calls that a warming server bears in one overload window, as a multiple of what its capacity can serve.
+    overload_factor: PositiveFloat = 3.0
+    overload_window_ms: PositiveFloat = 3000.0
+    # Time after the notice of a drain in which gateways may still send attempts to the server.
+    drain_grace_ms: NonNegativeFloat = 250.0
+    drain_period_ms: NonNegativeFloat = 4000.0  # Time from draining to gone; 2 to 6 s on the bench.
+    startup_ms: Range = (1000.0, 3000.0)  # Time from the start of a server to its first request.
+    error_share: Share = 0.0  # Ignored; experiment files of earlier versions may contain it.
+    connect_timeout_ms: PositiveFloat = 250.0
+    idle_timeout_ms: PositiveFloat = 15000.0  # Connections that are idle for this long are closed.
+    # Whether a server stops a running request that is cancelled; servers of both kinds exist.
+    cancels_running_work: bool = False
 
 
 class CounterConfig(Table, frozen=True):
     """The shared counter."""
 
     enabled: bool = True
-    machines: SmallInt = 1  # keys are spread over those of a region
-    partitions: SmallInt = 2  # of a machine; BENCH counter_parts: 1 to 3
-    calls_per_s: Range = (550.0, 740.0)  # of a machine, brief 7.6
-    processing_ms: Range = (0.66, 1.6)  # beside the network, brief 7.6
-    timeout_ms: PositiveFloat = 80.0  # brief 7.6
-    queue_limit_timeouts: Range = (
-        0.4,
-        3.0,
-    )  # queue, in time-outs, beyond which it says BUSY; BENCH counter_queue
-    loss_share: Share = 0.0  # of the calls
+    machines: SmallInt = 1  # Keys are spread over the machines of a region.
+    partitions: SmallInt = 2  # Partitions of one machine; 1 to 3 on the bench.
+    calls_per_s: Range = (550.0, 740.0)  # Capacity of one machine.
+    processing_ms: Range = (0.66, 1.6)  # Latency of a call without network delay and queueing.
+    timeout_ms: PositiveFloat = 80.0
+    # Queueing time, as a multiple of `timeout_ms`, above which a partition answers BUSY.
+    queue_limit_timeouts: Range = (0.4, 3.0)
+    loss_share: Share = 0.0  # Share of calls that are lost.
 
 
 class DiscoveryConfig(Table, frozen=True):
-    """The service that knows the endpoint list. Its costs are assumed: no page gives them."""
+    """The discovery service, which publishes the endpoint list."""
 
-    propagation_ms: Range = (500.0, 3000.0)  # until it learns of a change; "seconds late", brief 7.1
-    call_cost_ms: NonNegativeFloat = 0.2  # work of the service for a call ...
-    endpoint_cost_ms: NonNegativeFloat = 0.01  # ... and for each endpoint that it sends
-    max_queue_ms: PositiveFloat = 2000.0  # it answers 503 to calls that would wait longer
-    history_limit: PositiveInt = 1000  # changes kept; who is farther behind gets a snapshot
-    loss_share: Share = 0.0  # of the answers
-    notification_deadline_ms: PositiveFloat = 6000.0  # then a gateway counts as notified, PROTOCOL "Figures"
+    propagation_ms: Range = (500.0, 3000.0)  # Delay until the service learns of a change of a server.
+    call_cost_ms: NonNegativeFloat = 0.2  # Work of the service for one call.
+    endpoint_cost_ms: NonNegativeFloat = 0.01  # Additional work for each endpoint in the answer.
+    max_queue_ms: PositiveFloat = 2000.0  # Queueing time above which the service answers 503.
+    # Number of changes that a delta can cover; a watch that is further behind gets a snapshot.
+    history_limit: PositiveInt = 1000
+    loss_share: Share = 0.0  # Share of answers that are lost.
+    # Time after which a gateway counts as notified of a change, as in the protocol specification.
+    notification_deadline_ms: PositiveFloat = 6000.0
 
 
 class NetworkConfig(Table, frozen=True):
-    """Delays one way. No page gives figures; those of one site are small."""
+    """One-way delays of messages. Within one site they are small compared with the service time."""
 
     same_zone_ms: NonNegativeFloat = 0.25
     cross_zone_ms: NonNegativeFloat = 0.6
     cross_region_ms: NonNegativeFloat = 35.0
-    jitter_share: Exponent = 0.5  # up to this share of the delay on top
-    loss_share: Share = 0.0  # of packets, which TCP sends again ...
-    retransmit_ms: NonNegativeFloat = 200.0  # ... after this
+    jitter_share: Exponent = 0.5  # Largest random addition, as a share of the delay.
+    loss_share: Share = 0.0  # Share of packets that are lost and retransmitted by TCP.
+    retransmit_ms: NonNegativeFloat = 200.0  # Additional delay of a retransmitted packet.
 
 
 class PlanConfig(Table, frozen=True):
-    """A plan. All rates are scaled by one factor, so that `load.quota_utilization` holds."""
+    """A plan. The rates of all plans are scaled by one factor so that `load.quota_utilization` holds."""
 
     name: str
-    usage_share: PositiveFloat  # of the use within quotas
-    relative_rate: PositiveFloat  # units a second
-    burst_s: PositiveFloat  # seconds of the rate that may be used at once
-    price: PositiveFloat
-    over_quota_cost: Share = 0.6
-    hard_limit_factor: NonNegativeFloat = 0.0  # times the quota; 0: no hard limit
+    usage_share: PositiveFloat  # Demand of the plan's tenants, relative to that of the other plans.
+    relative_rate: PositiveFloat  # Quota of one tenant in units/s, before scaling.
+    burst_s: PositiveFloat  # Size of the token bucket, as seconds of the rate.
+    price: PositiveFloat  # Revenue per unit.
+    over_quota_cost: Share = 0.6  # Cost of a request over the quota, as a share of the request's weight.
+    hard_limit_factor: NonNegativeFloat = 0.0  # Hard limit as a multiple of the quota; 0: no hard limit.
 
 
-# Brief 4.1 to 4.4, the middle of each range.
+# Each figure is the middle of the range that the deployment specification gives for the plan.
 DEFAULT_PLANS = (
     PlanConfig(name="basico", usage_share=0.23, relative_rate=1.65, burst_s=4.5, price=0.55),
     PlanConfig(name="estudio", usage_share=0.20, relative_rate=2.2, burst_s=4.15, price=0.8),
@@ -172,25 +181,24 @@
 
 
 class FaultConfig(Table, frozen=True):
-    """Something that goes wrong at a moment, counted from the start of the run."""
+    """A fault that is injected during the run."""
 
     kind: FaultKind
-    at_s: NonNegativeFloat
-    duration_s: NonNegativeFloat = 0.0  # replacements and restarts are spread over this time
-    share: Share = 0.0  # of the servers, gateways or tenants
-    count: Annotated[int, Meta(ge=0)] = 0  # the same as a number; takes precedence over the share
-    zone: str = ""  # zone_isolated: "z0", "z1" ...
-    factor: Annotated[float, Meta(gt=0, le=100)] = (
-        3.0  # demand_surge: times the usual load; BENCH tenant_burst 2 to 6
-    )
-    downtime_ms: Range = (1100.0, 7800.0)  # gateways_restarted: each is away for this long, brief 2.1
+    at_s: NonNegativeFloat  # Start of the fault, as time since the start of the run.
+    duration_s: NonNegativeFloat = 0.0  # Server replacements and gateway restarts are spread over this time.
+    share: Share = 0.0  # Share of the servers, gateways or tenants that are affected.
+    count: Annotated[int, Meta(ge=0)] = 0  # Number of those affected; if not 0, it overrides `share`.
+    zone: str = ""  # zone_isolated: name of the zone ("z0", "z1", ...).
+    # demand_surge: factor on the tenants' demand; 2 to 6 on the bench.
+    factor: Annotated[float, Meta(gt=0, le=100)] = 3.0
+    downtime_ms: Range = (1100.0, 7800.0)  # gateways_restarted: time for which each gateway is down.
 
 
 class Experiment(Table, frozen=True):
-    """All of the file."""
+    """The content of an experiment file."""
 
     name: Annotated[str, Meta(min_length=1)]
-    duration_s: Annotated[float, Meta(gt=0, le=3600)]  # of simulated time
+    duration_s: Annotated[float, Meta(gt=0, le=3600)]  # Simulated time in which clients make requests.
     fleet: FleetConfig
     load: LoadConfig
     seed: Seed = 1
@@ -204,22 +212,22 @@
 
     @property
     def visible_servers(self) -> int:
-        """Servers in the endpoint list of one gateway."""
+        """Number of servers in the endpoint list of one gateway."""
         return self.fleet.visible_servers or self.fleet.servers
 
     @property
     def pool_count(self) -> int:
-        """Pools of servers, gateways and tenants that do not know of each other."""
+        """Number of pools; servers, gateways and tenants of different pools do not know of each other."""
         return max(1, round(self.fleet.servers / self.visible_servers))
 
     @property
     def zone_names(self) -> list[str]:
-        """All zones; zone i lies in region i modulo the regions."""
+        """Names of all zones; zone i lies in region i modulo the number of regions."""
         return [f"z{i}" for i in range(self.fleet.zones)]
 
 
 def excess_utilization(load: LoadConfig) -> float:
-    """Return what heavy tenants and spikes ask for on average, by the sum of all quotas."""
+    """Return the mean demand of heavy tenants and of spikes, as a share of the sum of all quotas."""
     heavy_factor = sum(load.heavy_factor) / 2.0
     spike_factor = sum(load.spike_factor) / 2.0
     duration_s = sum(load.spike_duration_s) / 2.0
