--- a/quota_gateway/lab/simulation/gateway_host.py
+++ b/quota_gateway/lab/simulation/gateway_host.py
@@ -1,4 +1,4 @@
-"""What the parts of a simulated gateway need of it."""
+"""The interface of a simulated gateway to the components that carry out its policy's actions."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 
 
 class GatewayHost(Protocol):
-    """A gateway's machine, as the parts see it that carry out the policy's actions.
+    """A gateway's machine as seen by the components that carry out the policy's actions.
 
     Attributes:
-        location: where it stands.
-        incarnation: counts its processes; what was meant for an earlier one is not delivered to a later one.
+        location: zone and region of the machine.
+        incarnation: number of processes started so far; events for an earlier process are not delivered to a
+            later one.
         alive: whether a process runs.
-        pending: requests that await their answer, by request id.
+        pending: client attempts that await their answer, by request id.
     """
 
     location: Location
@@ -25,10 +26,10 @@
     pending: dict[str, ClientAttempt]
 
     def post(self, event: Event) -> None:
-        """Hand an event to the policy and carry out its actions."""
+        """Pass an event to the policy and carry out its actions."""
 
     def post_to(self, incarnation: int, event: Event) -> None:
-        """Hand over an event that is meant for one process, if that still runs."""
+        """Pass an event to the policy if the process that it is meant for still runs."""
 
     def record_wait(self, attempt: ClientAttempt) -> None:
-        """Record how long an attempt waited, once, when it is first forwarded or rejected."""
+        """Record the wait of an attempt when it is first forwarded or rejected; later calls do nothing."""
--- a/quota_gateway/lab/simulation/gateways.py
+++ b/quota_gateway/lab/simulation/gateways.py
@@ -1,4 +1,4 @@
-"""Simulated gateways: the real policy without sockets; its actions are carried out on the models."""
+"""Simulated gateways: the real policy, whose actions are carried out on the models instead of on sockets."""
 
 from __future__ import annotations
 
@@ -31,24 +31,25 @@
 from quota_gateway.settings import Settings
 
 REQUEST_CLASS = "valuacion"
-SEED_BITS = 32  # of a policy's own random generator
+POLICY_SEED_BITS = 32  # Size of the seed of a policy's random generator.
 
 
 class SimulatedGateway:
-    """One gateway's machine, with the process that runs on it, if one does.
+    """The machine of one gateway, and the process that runs on it unless the gateway is down.
 
-    Clients see it as a `ClientFacingGateway`, the parts that carry out its actions as a `GatewayHost`.
-    Moments are in simulated time, ms.
+    The class implements `ClientFacingGateway` for clients, and `GatewayHost` for the components that carry
+    out the policy's actions. All times are simulated, in ms.
 
     Attributes:
-        incarnation: counts the processes; what was meant for an earlier one is not delivered to a later one.
-        policy: the decisions of the process; None while it is down.
-        pending: requests that await their answer, by request id.
-        known_version: of the endpoint list, which a restarted process begins with.
-        died_at: when the last process was killed; 0: none was.
-        failure_noticed_at: when clients notice that.
-        started_at: when the present process was restarted.
-        ready_at: when it takes requests.
+        incarnation: number of processes started so far; events for an earlier process are not delivered to a
+            later one.
+        policy: the policy of the running process; None while the gateway is down.
+        pending: client attempts that await their answer, by request id.
+        known_version: version of the endpoint list that the next process starts with.
+        died_at: time at which the last process was killed; 0 if none was.
+        failure_noticed_at: time at which the load balancer notices that the process was killed.
+        started_at: time of the last restart.
+        ready_at: time from which a restarted gateway accepts requests.
     """
 
     def __init__(
@@ -68,7 +69,7 @@
         self.known_version = 0
         self._environment = environment
         self._rng = random_stream(environment.seed, "gateway", index)
-        self._last_event_ns = 0  # processor time of the last event
+        self._last_event_ns = 0  # Processor time of the policy for the last event.
         self.notices = EndpointNotices(environment, location)
         self.attempts = ServerAttempts(environment, self, self.notices, settings.max_attempts)
         self.counter_calls = CounterCalls(environment, self, settings.counter_timeout_ms)
@@ -86,19 +87,20 @@
     # --- process lifecycle --------------------------------------------------------------------------------
 
     def start(self, cached: EndpointUpdate, version: int) -> None:
-        """Start a process from nothing but a cached endpoint list, and its version."""
+        """Start a process, which knows only a cached endpoint list and its version."""
         self.incarnation += 1
         self.alive = True
-        self.policy = Gateway(self.settings, self._rng.getrandbits(SEED_BITS))
+        self.policy = Gateway(self.settings, self._rng.getrandbits(POLICY_SEED_BITS))
         self.known_version = version
         self.notices.record(cached)
         self.post(cached)
         self.watch.start(version)
 
     def kill(self) -> None:
-        """End the process: what it held is reset, and its machine refuses connections until it is back."""
+        """Kill the process: its client connections are reset, and new ones are refused until the restart."""
         environment = self._environment
-        self.alive, self.policy = False, None
+        self.alive = False
+        self.policy = None
         self.died_at = environment.scheduler.now
         failover_ms = self._rng.uniform(*environment.experiment.clients.failover_ms)
         self.failure_noticed_at = self.died_at + failover_ms
@@ -113,7 +115,7 @@
         self.attempts.clear()
 
     def restart(self) -> None:
-        """Start the next process, with nothing but the endpoint list that the last one had (brief 2.1)."""
+        """Start the next process, which knows only the endpoint list that the last one had."""
         environment = self._environment
         self.notices.clear()
         endpoints = environment.discovery.histories[self.pool_number].at_version(self.known_version)
@@ -124,7 +126,7 @@
     # --- clients ------------------------------------------------------------------------------------------
 
     def accept(self, attempt: ClientAttempt) -> None:
-        """Take a client's attempt."""
+        """Pass a client's attempt to the policy."""
         self.pending[attempt.request_id] = attempt
         tenant = attempt.request.tenant
         self.post(
@@ -141,12 +143,12 @@
         attempt.waiting_ns = self._last_event_ns
 
     def disconnect(self, attempt: ClientAttempt) -> None:
-        """Note that the client has gone, or gave up."""
+        """Tell the policy that the client disconnected or timed out."""
         if self.pending.pop(attempt.request_id, None) is not None:
             self.post(ClientDisconnected(attempt.request_id))
 
     def record_wait(self, attempt: ClientAttempt) -> None:
-        """Record how long an attempt waited, once, when it is first forwarded or rejected."""
+        """Record the wait of an attempt when it is first forwarded or rejected; later calls do nothing."""
         if not attempt.wait_recorded:
             attempt.wait_recorded = True
             wait_us = 1000.0 * (self._environment.scheduler.now - attempt.arrived_at)
@@ -155,7 +157,11 @@
             self._environment.processor_time.added_us.record(wait_us + processor_us)
 
     def _answer(self, request_id: str, answer: Answer, retry_after_ms: float = 0.0) -> None:
-        """Give the policy's own final answer. A rejection promises that no attempt ran."""
+        """Deliver the policy's final answer to the client.
+
+        A rejection promises that no server ran the request, so it becomes a failure while an attempt is in
+        flight.
+        """
         attempt = self.pending.pop(request_id, None)
         if attempt is None or attempt.closed:
             return
@@ -170,18 +176,18 @@
     # --- policy -------------------------------------------------------------------------------------------
 
     def post(self, event: Event) -> None:
-        """Hand an event to the policy, measure its processor time, and carry out its actions."""
+        """Pass an event to the policy, measure its processor time, and carry out its actions."""
         if self.policy is None:
             return
-        before = time.process_time_ns()
+        processor_ns_before = time.process_time_ns()
         actions = self.policy.handle(self._environment.scheduler.now, event)
-        self._last_event_ns = time.process_time_ns() - before
+        self._last_event_ns = time.process_time_ns() - processor_ns_before
         self._environment.processor_time.record(type(event).__name__, self._last_event_ns)
         for action in actions:
             self._carry_out(action)
 
     def post_to(self, incarnation: int, event: Event) -> None:
-        """Hand over an event that is meant for one process, if that still runs."""
+        """Pass an event to the policy if the process that it is meant for still runs."""
         if incarnation == self.incarnation and self.alive:
             self.post(event)
 
@@ -203,12 +209,12 @@
             case LogEvent(name, fields):
                 self._environment.metrics.log_lines[f"{name} {dict(fields).get('state', '')}".rstrip()] += 1
             case WatchEndpoints():
-                pass  # the watch runs from the start
+                pass  # The watch is started together with the process.
 
     # --- discovery ----------------------------------------------------------------------------------------
 
     def _receive_update(self, update: EndpointUpdate) -> None:
-        """Take an answer of discovery."""
+        """Process an answer of discovery; the first one after a restart makes the gateway ready."""
         if not self.alive:
             return
         scheduler = self._environment.scheduler
