--- a/quota_gateway/lab/simulation/simulation.py
+++ b/quota_gateway/lab/simulation/simulation.py
@@ -1,4 +1,4 @@
-"""A whole fleet in simulated time: builds the parties of an experiment and runs it."""
+"""Builds all components of an experiment and runs them in simulated time."""
 
 from __future__ import annotations
 
@@ -27,26 +27,29 @@
 from quota_gateway.policy_api.endpoints import EndpointUpdate, UpdateKind
 from quota_gateway.settings import Idempotency, Plan, RequestClass, Settings, SlowStartSettings
 
-TAIL_MS = 5000.0  # after the last arrival, until all is answered
-PROGRESS_INTERVAL_MS = 500.0  # simulated time between two reports of progress
-MAX_ATTEMPTS = 5  # brief 7.5
-MAX_RETRY_AFTER_MS = 500.0  # WIRE settings, `max_retry_after_ms`
-GC_THRESHOLDS = (20_000, 20, 20)  # as in the gateway's process
+TAIL_MS = 5000.0  # Simulated time after the last arrival, in which all requests complete.
+PROGRESS_INTERVAL_MS = 500.0  # Simulated time between two calls of `progress`.
+MAX_ATTEMPTS = 5  # Largest number of attempts at servers for one attempt of a client.
+MAX_RETRY_AFTER_MS = 500.0
+GC_THRESHOLDS = (20_000, 20, 20)  # Must equal those of the gateway's process.
 PAGE_BYTES = resource.getpagesize()
 
 
 def resident_bytes() -> int:
-    """Return the resident memory of this process."""
+    """Return the resident memory of this process, bytes."""
     with open("/proc/self/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * PAGE_BYTES
 
 
 @dataclass(slots=True)
 class RunCost:
-    """What a run took on this machine.
+    """Resources that a run used on this machine.
 
     Attributes:
-        memory_bytes: resident memory by stage: start, servers_and_tenants, gateways (built), end.
+        wall_s: elapsed time of the run.
+        processor_s: processor time of the run.
+        memory_bytes: resident memory after each stage: "start", "servers_and_tenants" (built), "gateways"
+            (built), "end" (of the run).
     """
 
     wall_s: float = 0.0
@@ -55,7 +58,7 @@
 
 
 class Simulation:
-    """All parties of an experiment; its figures are in `metrics`, `processor_time` and `cost`."""
+    """An experiment with all its components. The results are in `metrics`, `processor_time` and `cost`."""
 
     def __init__(self, experiment: Experiment, seed: int) -> None:
         self.experiment = experiment
@@ -78,8 +81,13 @@
         self.cost.memory_bytes["gateways"] = resident_bytes()
 
     def run(self, progress: Callable[[float], None] | None = None) -> None:
-        """Run the experiment to its end; `progress` is called with the share of it that is done."""
-        environment, duration_ms = self.environment, 1000.0 * self.experiment.duration_s
+        """Run the experiment to its end.
+
+        Args:
+            progress: called from time to time with the completed share of the run, 0 to 1.
+        """
+        environment = self.environment
+        duration_ms = 1000.0 * self.experiment.duration_s
         arrivals = Arrivals(
             self.scheduler, environment.clients, environment.quotas, self.experiment, self.pools, self.seed
         )
@@ -87,24 +95,28 @@
         FaultInjector(environment, self.gateways).start()
         end = START_MS + duration_ms + TAIL_MS
         with _gateway_gc_settings():
-            wall, processor = time.perf_counter(), time.process_time()
+            wall_start_s = time.perf_counter()
+            processor_start_s = time.process_time()
             while self.scheduler.now < end:
                 self.scheduler.run_until(min(end, self.scheduler.now + PROGRESS_INTERVAL_MS))
                 if progress is not None:
                     progress((self.scheduler.now - START_MS) / (duration_ms + TAIL_MS))
-            self.cost.wall_s = time.perf_counter() - wall
-            self.cost.processor_s = time.process_time() - processor
+            self.cost.wall_s = time.perf_counter() - wall_start_s
+            self.cost.processor_s = time.process_time() - processor_start_s
             self.cost.memory_bytes["end"] = resident_bytes()
 
     def _location_of(self, pool: int, number: int) -> Location:
-        """Return where the member of a pool stands: a pool lies in one region, over all its zones in turn."""
+        """Return the location of a pool's member; a pool lies in one region, spread evenly over its zones."""
         region = pool % self.experiment.fleet.regions
-        in_region = [location for location in self._locations if location.region == region]
-        return in_region[number % len(in_region)]
+        region_locations = [location for location in self._locations if location.region == region]
+        return region_locations[number % len(region_locations)]
 
     def _build_environment(self) -> Environment:
-        experiment, seed = self.experiment, self.seed
-        scheduler, metrics, locations = self.scheduler, self.metrics, self._locations
+        experiment = self.experiment
+        seed = self.seed
+        scheduler = self.scheduler
+        metrics = self.metrics
+        locations = self._locations
         network = Network(experiment.network, seed)
         regions = experiment.fleet.regions
         counter_locations = [
@@ -133,36 +145,45 @@
         )
 
     def _build_tenants(self) -> tuple[Plan, ...]:
-        """Spread the tenants over the pools in turn, and return their plans."""
+        """Distribute the tenants over the pools round-robin, and return their plans."""
         plans = build_plans(self.experiment)
         for number, tenant in enumerate(build_tenants(self.experiment, plans, self.seed)):
             tenant.refilled_at = START_MS
             self.pools[number % len(self.pools)].tenants.append(tenant)
-        return tuple(each.plan for each in plans)
+        return tuple(plan_tenants.plan for plan_tenants in plans)
 
     def _build_gateways(self) -> list[SimulatedGateway]:
-        """Spread the gateways over the pools in turn, and start them with the lists of the start."""
-        total, pool_count = self.experiment.fleet.gateways, len(self.pools)
+        """Distribute the gateways over the pools round-robin, and start them with the initial lists."""
+        total = self.experiment.fleet.gateways
+        pool_count = len(self.pools)
         gateways = []
         for index in range(total):
-            pool, number = index % pool_count, index // pool_count
+            pool = index % pool_count
+            number = index // pool_count
             location = self._location_of(pool, number)
-            in_pool = (total - pool + pool_count - 1) // pool_count
-            settings = self._settings(location, in_pool, number)
+            gateways_in_pool = (total - pool + pool_count - 1) // pool_count
+            settings = self._settings(location, gateways_in_pool, number)
             gateway = SimulatedGateway(self.environment, index, location, pool, settings)
             gateways.append(gateway)
             self.pools[pool].gateways.append(gateway)
-        cached = [
+        initial_lists = [
             EndpointUpdate(UpdateKind.CACHED_SNAPSHOT, tuple(history.current.values()))
             for history in self.discovery.histories
         ]
         for gateway in gateways:
-            gateway.start(cached[gateway.pool_number], 0)
+            gateway.start(initial_lists[gateway.pool_number], 0)
         return gateways
 
     def _settings(self, location: Location, gateway_count: int, number: int) -> Settings:
-        """Return the settings of a gateway; the figures are those of the experiment."""
-        experiment, servers = self.experiment, self.experiment.servers
+        """Return the settings of a gateway, with the figures of the experiment.
+
+        Args:
+            location: zone and region of the gateway.
+            gateway_count: number of gateways in its pool.
+            number: index of the gateway in its pool.
+        """
+        experiment = self.experiment
+        servers = self.experiment.servers
         latency_objective_ms = experiment.clients.latency_objective_ms
         return Settings(
             zone=location.zone,
@@ -185,7 +206,10 @@
 
 @contextmanager
 def _gateway_gc_settings() -> Iterator[None]:
-    """Set the garbage collector as in the gateway's process; what was built is never freed."""
+    """Use the garbage collector settings of the gateway's process.
+
+    All objects built so far are frozen, so that no collection traverses them.
+    """
     gc.collect()
     gc.freeze()
     thresholds = gc.get_threshold()
