--- a/quota_gateway/lab/simulation/servers.py
+++ b/quota_gateway/lab/simulation/servers.py
@@ -1,4 +1,4 @@
-"""Servers: cores, a bounded queue, warming up and overload, drains, hangs and crashes."""
+"""Model of a server: cores, a bounded queue, warm-up, failure from overload, drains, hangs and crashes."""
 
 from __future__ import annotations
 
@@ -14,38 +14,48 @@
 from quota_gateway.policy_api.endpoints import Endpoint, EndpointState
 from quota_gateway.policy_api.events import CallOutcome
 
-REJECT_MS = 0.05  # work to reject a request; BENCH: all work that reaches a server adds load
-HANG_POLL_MS = 50.0  # a completed request of a hung server is looked at again after this
+REJECT_MS = 0.05  # Work for a rejected request; each request that reaches a server adds load.
+HANG_POLL_MS = 50.0  # Interval at which a hung server checks whether a request that is due may complete.
 
 
 class ServerState(Enum):
-    """What a server's process does."""
+    """State of a server's process."""
 
     UP = "up"
-    DRAINING = "draining"  # completes what it has
-    HUNG = "hung"  # accepts requests and answers none
-    DOWN = "down"  # refuses connections
-    VANISHED = "vanished"  # sends nothing at all
+    DRAINING = "draining"  # Completes accepted requests and rejects new ones.
+    HUNG = "hung"  # Accepts requests and answers none.
+    DOWN = "down"  # Refuses connections.
+    VANISHED = "vanished"  # Sends nothing, not even resets.
 
 
 @dataclass(slots=True, eq=False)
 class ServerTask:
-    """A request as a server sees it. `respond` is called with its outcome when the response leaves."""
+    """A request at a server.
+
+    Attributes:
+        work_ms: work of the request on one core of a warm server, ms.
+        respond: called with the outcome when the server sends its response.
+        start_notified: whether the gateway has been notified of the server's last start.
+        queued: whether the request is in the server's queue.
+        cancelled: whether the gateway no longer waits for the response.
+    """
 
     work_ms: float
     respond: Callable[[CallOutcome], None]
-    start_notified: bool = True  # the gateway has been notified of the server's last start
+    start_notified: bool = True
     queued: bool = False
-    cancelled: bool = False  # nobody waits for it any more
+    cancelled: bool = False
 
 
 class Server:
-    """One machine. The work of a request takes one core.
+    """A server's machine. Each request occupies one core.
 
     Attributes:
-        service_time_ms: mean work of a request on one warm core, ms.
-        started_ms: start of the process; 0 means long ago, that is warm.
-        busy_ms: work done so far, in ms of one core.
+        service_time_ms: mean work of a request on one core of a warm server, ms.
+        started_ms: start of the process, simulated ms; 0 for a server that is warm from the beginning.
+        running: requests that occupy a core, in order of their starts.
+        completed: number of completed requests.
+        busy_ms: core time spent on requests so far, ms.
     """
 
     def __init__(
@@ -67,19 +77,20 @@
         self.service_time_ms = service_time_ms
         self.state = ServerState.UP
         self.started_ms = 0.0
-        self.running: dict[ServerTask, None] = {}  # in order of their starts
+        self.running: dict[ServerTask, None] = {}
         self.queue: deque[ServerTask] = deque()
         self.completed = 0
         self.busy_ms = 0.0
-        # Calls in the overload window while warming up: their time, and whether the caller had been notified.
+        # Calls in the overload window during warm-up: time of the call, and whether its gateway had been
+        # notified of the server's start.
         self._window: deque[tuple[float, bool]] = deque()
 
     def endpoint(self, state: EndpointState = EndpointState.ACTIVE) -> Endpoint:
-        """Return the server as the endpoint list names it."""
+        """Return the server's entry in the endpoint list."""
         return Endpoint(self.name, self.location.zone, 0, 1.0, self.started_ms, state)
 
     def warm_up_factor(self) -> float:
-        """Return the present share of its capacity, which grows evenly in time (BENCH, "The world")."""
+        """Return the present capacity as a share of a warm server's; it grows linearly during warm-up."""
         if not self.started_ms:
             return 1.0
         initial = self.config.initial_capacity_share
@@ -87,34 +98,33 @@
         return min(1.0, initial + (1.0 - initial) * age_ms / self.config.warm_up_ms)
 
     def overload_budget(self) -> float:
-        """Return the calls in the overload window that its present capacity allows."""
+        """Return the number of calls in one overload window that the present capacity allows."""
         config = self.config
         capacity = self.warm_up_factor() * config.cores
         return config.overload_factor * capacity * config.overload_window_ms / self.service_time_ms
 
     def accept(self, task: ServerTask) -> None:
-        """Take a request: start, queue or reject it."""
+        """Start, queue or reject a request; it gets no response if the process is not running."""
         if self.state in (ServerState.DOWN, ServerState.VANISHED):
             return
         self.metrics.count_message(Role.SERVER, Message.REQUESTS)
         if self.started_ms and self.warm_up_factor() < 1.0 and self._fails_from_overload(task):
             return
-        cores_busy = len(self.running) >= self.config.cores
+        all_cores_busy = len(self.running) >= self.config.cores
         queue_full = len(self.queue) >= self.config.queue_capacity
-        if self.state is ServerState.DRAINING or (cores_busy and queue_full):
+        if self.state is ServerState.DRAINING or (all_cores_busy and queue_full):
             self.busy_ms += REJECT_MS
             task.respond(CallOutcome.REJECTED)
-        elif self.state is ServerState.HUNG or cores_busy:
+        elif self.state is ServerState.HUNG or all_cores_busy:
             task.queued = True
             self.queue.append(task)
         else:
             self._begin(task)
 
     def cancel(self, task: ServerTask) -> None:
-        """Note that nobody waits for a request.
+        """Cancel a request whose response is no longer needed.
 
-        A queued one is dropped; a running one goes on unless the configuration says that it stops (brief
-        3.2).
+        A queued request is dropped. A running one is completed, unless `cancels_running_work` is set.
         """
         task.cancelled = True
         if task.queued:
@@ -125,30 +135,32 @@
             self._begin_queued()
 
     def stop(self, state: ServerState) -> None:
-        """End the process: what it held is reset, or gets no response where the machine vanished."""
-        held = [*self.running, *self.queue]
+        """End the process. Its requests are reset if the state is DOWN, and get no response if VANISHED."""
+        held_tasks = [*self.running, *self.queue]
         self.running.clear()
         self.queue.clear()
         self._window.clear()
         self.state = state
         if state is ServerState.DOWN:
-            for task in held:
+            for task in held_tasks:
                 task.respond(CallOutcome.RESET)
 
     def resume(self) -> None:
-        """End a hang."""
+        """End a hang: the server continues with its requests."""
         if self.state is ServerState.HUNG:
             self.state = ServerState.UP
             self._begin_queued()
 
     def start(self) -> None:
         """Start a new process, which has to warm up."""
-        self.state, self.started_ms = ServerState.UP, self.scheduler.now
+        self.state = ServerState.UP
+        self.started_ms = self.scheduler.now
         self._window.clear()
 
     def _fails_from_overload(self, task: ServerTask) -> bool:
-        """Return whether this call is more than the warming server bears; if so, stop it."""
-        now, window = self.scheduler.now, self._window
+        """Record a call at a warming server; stop the server and return True if that exceeds its limit."""
+        now = self.scheduler.now
+        window = self._window
         window.append((now, task.start_notified))
         while window[0][0] < now - self.config.overload_window_ms:
             window.popleft()
@@ -164,7 +176,7 @@
         return True
 
     def _begin(self, task: ServerTask) -> None:
-        """Start a request on a free core, at the speed of this moment."""
+        """Start a request on a free core. Its duration depends on the capacity at this moment."""
         task.queued = False
         self.running[task] = None
         duration_ms = task.work_ms / self.warm_up_factor()
@@ -185,7 +197,7 @@
         self._begin_queued()
 
     def _begin_queued(self) -> None:
-        """Move queued requests to free cores."""
+        """Start queued requests on free cores."""
         while self.queue and len(self.running) < self.config.cores and self.state is not ServerState.HUNG:
             task = self.queue.popleft()
             if not task.cancelled:
