--- a/quota_gateway/lab/simulation/discovery.py
+++ b/quota_gateway/lab/simulation/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: one service of bounded capacity that answers gateways' watches on the endpoint list."""
+"""Model of the discovery service: one server of bounded capacity that answers watches on endpoint lists."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from quota_gateway.network.discovery.poll_schedule import FIRST_LONG_POLL_S, LONG_POLL_S
 from quota_gateway.policy_api.endpoints import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 
-RESPONSE_DELAY_MS = 0.5  # of an answer that is sent at once; assumed
+RESPONSE_DELAY_MS = 0.5  # Time from the sending of an answer to its arrival at the gateway.
 NEVER = float("inf")
 
 
 class Watcher(Protocol):
-    """A gateway's watch as the service sees it.
+    """A gateway's watch as seen by the service.
 
     Attributes:
-        location: where its gateway stands.
-        pool: whose endpoint list it watches.
-        version: what it has; None: nothing.
-        responses: answers that it has received since its start.
+        location: zone and region of the gateway.
+        pool: index of the pool whose endpoint list is watched.
+        version: version of the list that the gateway has; None if it has none.
+        responses: number of answers received since the start of the watch.
     """
 
     location: Location
@@ -33,19 +33,22 @@
     version: int | None
     responses: int
 
-    def receive(self, call: int, update: EndpointUpdate, version: int | None) -> None:
-        """Take the answer to a call: an update to a version."""
+    def receive(self, call_id: int, update: EndpointUpdate, version: int | None) -> None:
+        """Process the answer to a call: the update that leads to a version of the list."""
 
-    def receive_overloaded(self, call: int) -> None:
-        """Take a 503 in answer to a call."""
+    def receive_overloaded(self, call_id: int) -> None:
+        """Process a 503 in answer to a call."""
 
 
 class DiscoveryService:
-    """Answers calls in turn; each costs work, and so does each endpoint in its answer.
+    """Answers calls in the order of their arrival. Each call and each endpoint in its answer costs work.
+
+    A call of a watch that has the current version stays open until the list changes or the long poll expires.
 
     Attributes:
-        histories: the endpoint list of each pool.
-        busy_ms: work done so far.
+        location: zone and region of the service.
+        histories: endpoint list and its changes, by pool index.
+        busy_ms: time spent on calls so far, ms.
     """
 
     def __init__(
@@ -66,19 +69,23 @@
         self.histories = [EndpointHistory() for _ in range(pool_count)]
         self.busy_ms = 0.0
         self._rng = random_stream(seed, "discovery")
-        self._parked: list[dict[Watcher, int]] = [{} for _ in range(pool_count)]  # open watches, by call
+        self._parked: list[dict[Watcher, int]] = [
+            {} for _ in range(pool_count)
+        ]  # Call id of each open watch.
         self._free_at = 0.0
         self._down = False
-        self._down_at = self._up_at = 0.0
-        self._leave_known_at: dict[str, float] = {}  # when it learned that a server drains or is gone
+        self._down_at = 0.0
+        self._up_at = 0.0
+        # Time at which the service learned that a server drains or is gone, by server.
+        self._leave_known_at: dict[str, float] = {}
 
     def change(self, pool: int, endpoint: Endpoint) -> None:
-        """Note a change of a server, which the service learns of late."""
+        """Report a change of a server; the service publishes it after the propagation delay."""
         delay_ms = self._rng.uniform(*self.config.propagation_ms)
         self.scheduler.schedule_after(delay_ms, self.publish, pool, endpoint)
 
     def publish(self, pool: int, endpoint: Endpoint) -> None:
-        """Make a change known; open watches are answered."""
+        """Add a change to the endpoint list of a pool, and answer the open watches on it."""
         self.metrics.count_message(Role.DISCOVERY, Message.CHANGES)
         self.histories[pool].append(endpoint)
         if endpoint.state is EndpointState.ACTIVE:
@@ -88,13 +95,14 @@
         if self._down:
             return
         parked, self._parked[pool] = self._parked[pool], {}
-        for watcher, call in parked.items():
-            self._enqueue(watcher, call)
+        for watcher, call_id in parked.items():
+            self._enqueue(watcher, call_id)
 
     def notification_deadline(self, server: str, location: Location) -> float:
-        """Return when a gateway counts as notified that a server drains or is gone, ms; inf: it does not yet.
+        """Return the time from which a gateway counts as notified that a server drains or is gone, ms.
 
-        That is a fixed time after discovery knew it and could be reached.
+        It is `notification_deadline_ms` after the service knew of the change, was up and could be reached
+        from the gateway's location; infinity while one of these conditions does not hold.
         """
         if not self.network.connected(location, self.location):
             return NEVER
@@ -104,62 +112,65 @@
             healed_at.get(location.zone, 0.0),
             healed_at.get(self.location.zone, 0.0),
         )
-        allowed_ms = self.config.notification_deadline_ms
-        went_down_before_deadline = self._down_at < known_at + allowed_ms
+        notice_period_ms = self.config.notification_deadline_ms
+        went_down_before_deadline = self._down_at < known_at + notice_period_ms
         if self._down and went_down_before_deadline:
             return NEVER
         if went_down_before_deadline and self._up_at > known_at:
-            return self._up_at + allowed_ms
-        return known_at + allowed_ms
+            return self._up_at + notice_period_ms
+        return known_at + notice_period_ms
 
-    def call(self, watcher: Watcher, call: int) -> None:
-        """Take a call: answered in turn, parked until there is a change, or rejected."""
+    def call(self, watcher: Watcher, call_id: int) -> None:
+        """Accept a call: queue its answer, keep it open until the list changes, or reject it with a 503."""
         if self._down or not self.network.connected(watcher.location, self.location):
             return
         self.metrics.count_message(Role.DISCOVERY, Message.CALLS, HTTP_REQUEST_BYTES)
         if self._free_at - self.scheduler.now > self.config.max_queue_ms:
             self.metrics.count_message(Role.DISCOVERY, Message.OVERLOADED, HTTP_HEADER_BYTES)
-            self.scheduler.schedule_after(RESPONSE_DELAY_MS, watcher.receive_overloaded, call)
+            self.scheduler.schedule_after(RESPONSE_DELAY_MS, watcher.receive_overloaded, call_id)
             return
         if watcher.version is None or self.histories[watcher.pool].version > watcher.version:
-            self._enqueue(watcher, call)
+            self._enqueue(watcher, call_id)
         else:
-            self._parked[watcher.pool][watcher] = call
+            self._parked[watcher.pool][watcher] = call_id
             wait_s = LONG_POLL_S if watcher.responses else FIRST_LONG_POLL_S
-            self.scheduler.schedule_after(1000.0 * wait_s, self._expire, watcher, call)
+            self.scheduler.schedule_after(1000.0 * wait_s, self._expire, watcher, call_id)
 
     def forget(self, watcher: Watcher) -> None:
-        """Close a watch: its connection is gone."""
+        """Drop the open call of a watch whose connection is closed."""
         self._parked[watcher.pool].pop(watcher, None)
 
     def stop(self) -> None:
-        """Stop answering; open watches get no response."""
-        self._down, self._down_at = True, self.scheduler.now
+        """Begin an outage: the service answers no calls, neither new nor open ones."""
+        self._down = True
+        self._down_at = self.scheduler.now
         for parked in self._parked:
             parked.clear()
 
     def start(self) -> None:
-        """Come back, with all lists."""
-        self._down, self._up_at = False, self.scheduler.now
+        """End an outage; the endpoint lists include the changes made during it."""
+        self._down = False
+        self._up_at = self.scheduler.now
 
     def _pending_update(self, watcher: Watcher) -> EndpointUpdate:
         return self.histories[watcher.pool].update_since(watcher.version, self.config.history_limit)
 
-    def _enqueue(self, watcher: Watcher, call: int) -> None:
+    def _enqueue(self, watcher: Watcher, call_id: int) -> None:
         self._add_work(len(self._pending_update(watcher).endpoints))
-        self.scheduler.schedule_at(self._free_at, self._respond, watcher, call)
+        self.scheduler.schedule_at(self._free_at, self._respond, watcher, call_id)
 
     def _add_work(self, endpoints: int) -> None:
-        """Add the work of one answer behind all that is queued."""
+        """Append the work of one answer, with this many endpoints, to the queue."""
         cost_ms = self.config.call_cost_ms + self.config.endpoint_cost_ms * endpoints
         self.busy_ms += cost_ms
         self._free_at = max(self.scheduler.now, self._free_at) + cost_ms
 
-    def _respond(self, watcher: Watcher, call: int) -> None:
-        """Send an answer, which may be lost on the way."""
+    def _respond(self, watcher: Watcher, call_id: int) -> None:
+        """Send an answer with the changes since the watch's version; it may be lost on the way."""
         if self._down:
             return
-        update, history = self._pending_update(watcher), self.histories[watcher.pool]
+        update = self._pending_update(watcher)
+        history = self.histories[watcher.pool]
         size = HTTP_HEADER_BYTES + EMPTY_LIST_BYTES + history.update_bytes(update)
         kind = Message.SNAPSHOTS if update.kind is UpdateKind.SNAPSHOT else Message.DELTAS
         self.metrics.count_message(Role.DISCOVERY, kind, size)
@@ -168,11 +179,11 @@
         if lost or not self.network.connected(watcher.location, self.location):
             self.metrics.count_message(Role.DISCOVERY, Message.LOST)
             return
-        self.scheduler.schedule_after(RESPONSE_DELAY_MS, watcher.receive, call, update, history.version)
+        self.scheduler.schedule_after(RESPONSE_DELAY_MS, watcher.receive, call_id, update, history.version)
 
-    def _expire(self, watcher: Watcher, call: int) -> None:
-        """End a watch that has seen no change."""
-        if self._parked[watcher.pool].get(watcher) != call:
+    def _expire(self, watcher: Watcher, call_id: int) -> None:
+        """Send an empty answer to a call that is still open when its long poll expires."""
+        if self._parked[watcher.pool].get(watcher) != call_id:
             return
         self.forget(watcher)
         if self._down or not self.network.connected(watcher.location, self.location):
@@ -180,4 +191,4 @@
         self._add_work(0)
         self.metrics.count_message(Role.DISCOVERY, Message.EMPTY, HTTP_HEADER_BYTES + EMPTY_LIST_BYTES)
         unchanged = EndpointUpdate(UpdateKind.DELTA, ())
-        self.scheduler.schedule_at(self._free_at, watcher.receive, call, unchanged, watcher.version)
+        self.scheduler.schedule_at(self._free_at, watcher.receive, call_id, unchanged, watcher.version)
--- a/quota_gateway/lab/simulation/endpoint_watch.py
+++ b/quota_gateway/lab/simulation/endpoint_watch.py
@@ -1,7 +1,7 @@
-"""A gateway's watch on the endpoint list.
+"""Model of a gateway's watch on the endpoint list.
 
-Its schedule (how long it waits, when it gives up and how it spreads its calls) is that of
-`quota_gateway.network.discovery.poll_schedule`, whose constants are used here.
+Its time-outs, pauses and random delays are the constants of
+`quota_gateway.network.discovery.poll_schedule`, which the network code uses too.
 """
 
 from __future__ import annotations
@@ -22,16 +22,19 @@
 )
 from quota_gateway.policy_api.endpoints import EndpointUpdate, UpdateKind
 
-RECONNECT_JITTER = (0.5, 1.5)  # factors on the pause before a new connection
-IDLE_GAP_SHARE = 0.01  # of the pause after an answer without changes that the simulated watch keeps
+RECONNECT_JITTER = (0.5, 1.5)  # Range of the random factor on the delay before a new connection.
+# Share of the network code's pause after an empty answer that the simulated watch waits.
+EMPTY_RESPONSE_PAUSE_SHARE = 0.01
 
 
 class EndpointWatch:
-    """Keeps a call to discovery open; each answer is followed by the next call.
+    """Keeps one call to discovery open: each answer is followed by the next call.
 
     Attributes:
-        version: of the list that it has; None: none.
-        responses: answers since the last start.
+        location: zone and region of the gateway.
+        pool: index of the pool whose endpoint list is watched.
+        version: version of the list that the gateway has; None if it has none.
+        responses: number of answers received since the last start.
     """
 
     def __init__(
@@ -54,50 +57,60 @@
         self._gateway_count = gateway_count
         self._rng = random_stream(seed, "agent", index)
         self._on_update = on_update
-        self._call = 0  # the call that is awaited; answers to older ones are ignored
+        self._call_id = 0  # Id of the current call; answers to earlier calls are ignored.
 
     def start(self, version: int | None) -> None:
-        """Begin to watch from a version."""
-        self.version, self.responses = version, 0
+        """Start watching for changes after a version of the list; None requests a snapshot."""
+        self.version = version
+        self.responses = 0
         self._send_call()
 
     def stop(self) -> None:
         """Abandon the open call."""
-        self._call += 1
+        self._call_id += 1
         self._service.forget(self)
 
-    def receive(self, call: int, update: EndpointUpdate, version: int | None) -> None:
-        """Take an answer, which holds no endpoints if nothing changed in time; go on watching."""
-        if call != self._call:
+    def receive(self, call_id: int, update: EndpointUpdate, version: int | None) -> None:
+        """Process an answer and schedule the next call.
+
+        The answer has no endpoints if the list did not change before the long poll expired. The first answer
+        since the start is passed on even then, because it confirms that the cached list is current.
+        """
+        if call_id != self._call_id:
             return
         self.version = version
         self.responses += 1
         if update.endpoints or update.kind is UpdateKind.SNAPSHOT or self.responses == 1:
             self._on_update(update)
-        self._call += 1
-        gap_ms = 0.0 if update.endpoints else 1000.0 * EMPTY_RESPONSE_PAUSE_S * IDLE_GAP_SHARE
-        self._scheduler.schedule_after(gap_ms, self._retry, self._call)
+        self._call_id += 1
+        pause_ms = 0.0 if update.endpoints else 1000.0 * EMPTY_RESPONSE_PAUSE_S * EMPTY_RESPONSE_PAUSE_SHARE
+        self._scheduler.schedule_after(pause_ms, self._retry, self._call_id)
 
-    def receive_overloaded(self, call: int) -> None:
-        """Take a 503: the next calls of all gateways are spread over the time that they take together."""
-        if call == self._call:
+    def receive_overloaded(self, call_id: int) -> None:
+        """Process a 503: call again after a random delay.
+
+        The range of the delay is proportional to the number of gateways, which spreads their calls evenly.
+        """
+        if call_id == self._call_id:
             spread_s = min(MAX_POLL_SPREAD_S, self._gateway_count * POLL_SPACING_PER_GATEWAY_S)
             self._back_off(1000.0 * self._rng.random() * spread_s)
 
     def _send_call(self) -> None:
-        self._call += 1
-        self._scheduler.schedule_after(1000.0 * (LONG_POLL_S + RESPONSE_GRACE_S), self._time_out, self._call)
-        self._service.call(self, self._call)
-
-    def _time_out(self, call: int) -> None:
-        if call == self._call:
+        self._call_id += 1
+        self._scheduler.schedule_after(
+            1000.0 * (LONG_POLL_S + RESPONSE_GRACE_S), self._time_out, self._call_id
+        )
+        self._service.call(self, self._call_id)
+
+    def _time_out(self, call_id: int) -> None:
+        if call_id == self._call_id:
             self._back_off(1000.0 * RECONNECT_DELAY_S * self._rng.uniform(*RECONNECT_JITTER))
 
     def _back_off(self, wait_ms: float) -> None:
         self.stop()
-        self._scheduler.schedule_after(wait_ms, self._retry, self._call)
+        self._scheduler.schedule_after(wait_ms, self._retry, self._call_id)
 
-    def _retry(self, call: int) -> None:
-        """Send the next call, unless the watch was stopped or has gone on since this was scheduled."""
-        if call == self._call:
+    def _retry(self, call_id: int) -> None:
+        """Send the next call, unless the watch was stopped or sent another call since this was scheduled."""
+        if call_id == self._call_id:
             self._send_call()
