--- a/quota_gateway/lab/simulation/clients.py
+++ b/quota_gateway/lab/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Clients: their attempts through a load balancer to gateways, time-outs, disconnects and retries."""
+"""Model of the clients: attempts through a load balancer to gateways, time-outs, disconnects and retries."""
 
 from __future__ import annotations
 
@@ -21,13 +21,20 @@
 from quota_gateway.lab.simulation.scheduler import EventScheduler
 from quota_gateway.lab.simulation.wire_sizes import VALUE_BYTES, call_get
 
-CONNECTION_REFUSED_MS = 1.0  # a dead gateway's machine refuses a connection after about this; assumed
-ERROR_BYTES = 12  # `-BUSY MS` or `-ERR failed`
-VALUE_FRAMING_BYTES = 8  # of a value, to the client
+CONNECTION_REFUSED_MS = 1.0  # Time until the refused connection to a dead gateway fails.
+ERROR_BYTES = 12  # Size of the replies `-BUSY MS` and `-ERR failed`.
+CLIENT_VALUE_FRAMING_BYTES = 8  # Protocol overhead of a value that is sent to a client.
+
+# A tenant's weights move to others of its gateways once per `weight_shift_ms`. The tenant's `weight_seed`
+# sets the phase of these moves and, hashed with the number of the move, the gateway with the largest weight.
+WEIGHT_SHIFT_PHASE_MS = 9973
+SEED_HASH_MULTIPLIER = 2654435761
+PERIOD_HASH_MULTIPLIER = 40503
+HASH_SHIFT_BITS = 7
 
 
 class Answer(StrEnum):
-    """The one answer to an attempt of a client; the values are keys of result files."""
+    """The answer to an attempt of a client; the values are keys of result files."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -35,10 +42,10 @@
 
 
 class Clients:
-    """All clients. They make new requests without waiting for answers (BENCH, "How a day is judged").
+    """All clients. Their load is open-loop: new requests do not wait for the answers to earlier ones.
 
     Attributes:
-        end: when the last attempt may begin, ms; it is set at the start of a run.
+        end: simulated time after which no attempt is made, ms; it is set at the start of a run.
     """
 
     def __init__(
@@ -57,14 +64,16 @@
         self._rng = random_stream(seed, "clients")
         self._last_id = 0
         load = experiment.load
-        self._gateway_shares = [
+        # Cumulative weights of a tenant's gateways by rank, for each number of gateways from 1 on.
+        self._cumulative_gateway_weights = [
             _cumulative_zipf(count, load.gateway_weight_exponent)
             for count in range(1, load.gateways_per_tenant[1] + 1)
         ]
 
     def send(self, request: ClientRequest, retries: int = 0) -> None:
-        """Make an attempt: through the load balancer to a gateway."""
-        config, now = self.config, self.scheduler.now
+        """Send an attempt to the gateway that the load balancer chooses."""
+        config = self.config
+        now = self.scheduler.now
         timeout_ms = min(
             config.deadline_ms * self._rng.uniform(*config.timeout_share),
             request.first_attempt_at + config.deadline_ms - now,
@@ -86,7 +95,7 @@
         gateway.accept(attempt)
 
     def complete(self, attempt: ClientAttempt, answer: Answer, retry_after_ms: float = 0.0) -> None:
-        """Take the one answer of an attempt."""
+        """Process the answer to an attempt; a rejection or failure may be followed by a retry."""
         service = self.metrics.service
         self._close(attempt)
         service[answer] += 1
@@ -94,7 +103,7 @@
             self.metrics.count_message(Role.GATEWAY, answer, ERROR_BYTES)
             self.retry(attempt, retry_after_ms)
             return
-        self.metrics.count_message(Role.GATEWAY, answer, VALUE_BYTES + VALUE_FRAMING_BYTES)
+        self.metrics.count_message(Role.GATEWAY, answer, VALUE_BYTES + CLIENT_VALUE_FRAMING_BYTES)
         request = attempt.request
         response_ms = self.scheduler.now - request.first_attempt_at
         self.metrics.response_us.record(1000.0 * response_ms)
@@ -102,21 +111,26 @@
             service[ServiceCount.SERVED_LATE] += 1
             return
         service[ServiceCount.SERVED_WITHIN_OBJECTIVE] += 1
-        if attempt.within_quota:  # what is served beyond a quota earns nothing (brief 4.1)
+        if attempt.within_quota:  # Requests over the quota earn nothing.
             self.metrics.revenue[ServiceCount.SERVED_REVENUE] += request.units * request.tenant.plan.price
 
     def reset(self, attempt: ClientAttempt) -> None:
-        """Take the reset of an attempt's connection: its gateway has died."""
+        """Process the reset of an attempt's connection after its gateway was killed."""
         self.metrics.service[ServiceCount.RESET_BY_RESTART] += 1
         self._close(attempt)
         self.retry(attempt, 0.0)
 
     def retry(self, attempt: ClientAttempt, retry_after_ms: float) -> None:
-        """Schedule the next attempt, if the client makes one.
+        """Schedule the next attempt of a request, unless its retries or its deadline are exhausted.
+
+        All requests are idempotent, so clients retry after any failure.
 
-        Idempotent requests are repeated after any failure (WIRE 10).
+        Args:
+            attempt: the attempt that was not served.
+            retry_after_ms: retry-after of the answer, ms; 0 if it has none.
         """
-        config, request = self.config, attempt.request
+        config = self.config
+        request = attempt.request
         honoured = retry_after_ms > 0 and self._rng.random() < config.retry_after_share
         wait_ms = retry_after_ms if honoured else self._rng.uniform(*config.backoff_ms)
         retry_at = self.scheduler.now + wait_ms
@@ -127,14 +141,19 @@
         self.scheduler.schedule_at(retry_at, self.send, request, attempt.retries + 1)
 
     def _choose_gateway(self, pool: Pool, tenant: Tenant) -> ClientFacingGateway | None:
-        """Return the gateway that the load balancer picks, None if it is dead and not yet known to be.
+        """Return the gateway that the load balancer picks, None if the attempt does not reach one.
 
-        A tenant's gateways have uneven weights, which move to other gateways from time to time.
+        The tenant's gateways have uneven weights, which move to others of them from time to time. The load
+        balancer skips gateways that are not ready, but it goes on picking one that has died until it notices
+        the failure.
         """
-        now, count = self.scheduler.now, tenant.gateway_count
-        period = int((now + tenant.weight_seed % 9973) / tenant.weight_shift_ms)
-        rotation = (tenant.weight_seed * 2654435761 + period * 40503) >> 7  # a hash of both
-        rank = int(np.searchsorted(self._gateway_shares[count - 1], self._rng.random()))
+        now = self.scheduler.now
+        count = tenant.gateway_count
+        period = int((now + tenant.weight_seed % WEIGHT_SHIFT_PHASE_MS) / tenant.weight_shift_ms)
+        rotation = (
+            tenant.weight_seed * SEED_HASH_MULTIPLIER + period * PERIOD_HASH_MULTIPLIER
+        ) >> HASH_SHIFT_BITS
+        rank = int(np.searchsorted(self._cumulative_gateway_weights[count - 1], self._rng.random()))
         for step in range(count):
             index = tenant.first_gateway + (rotation + rank + step) % count
             gateway = pool.gateways[index % len(pool.gateways)]
@@ -145,13 +164,13 @@
         return None
 
     def _disconnect(self, attempt: ClientAttempt) -> None:
-        """Leave before the answer."""
+        """Disconnect the client of an attempt that is not yet answered."""
         if not attempt.closed:
             self.metrics.service[ServiceCount.CLIENT_DISCONNECTED] += 1
             self._abandon(attempt)
 
     def _time_out(self, attempt: ClientAttempt) -> None:
-        """Give up an attempt that got no answer within its deadline."""
+        """Abandon an attempt that got no answer within its deadline, and retry."""
         if not attempt.closed:
             self.metrics.service[ServiceCount.UNANSWERED] += 1
             self._abandon(attempt)
@@ -163,19 +182,22 @@
             attempt.gateway.disconnect(attempt)
 
     def _close(self, attempt: ClientAttempt) -> None:
-        attempt.closed, attempt.closed_at = True, self.scheduler.now
+        attempt.closed = True
+        attempt.closed_at = self.scheduler.now
 
 
-def request_bytes(attempt: ClientAttempt, left_ms: float) -> int:
-    """Return the size of a client's command with so much of its deadline left, ms."""
-    request, tenant = attempt.request, attempt.request.tenant
+def request_bytes(attempt: ClientAttempt, remaining_ms: float) -> int:
+    """Return the size of a client's command, bytes; `remaining_ms` is the time until its deadline."""
+    request = attempt.request
+    tenant = attempt.request.tenant
     command = call_get(
-        tenant.key, attempt.request_id, tenant.plan.name, left_ms, request.units, tenant.gateway_count
+        tenant.key, attempt.request_id, tenant.plan.name, remaining_ms, request.units, tenant.gateway_count
     )
     return len(command)
 
 
 def _cumulative_zipf(count: int, exponent: float) -> FloatArray:
+    """Return the cumulative Zipf weights of the ranks 1 to `count`, normalised to end at 1."""
     weights = np.arange(1, count + 1) ** -exponent
     cumulative: FloatArray = np.cumsum(weights) / np.sum(weights)
     return cumulative
--- a/quota_gateway/lab/simulation/wire_sizes.py
+++ b/quota_gateway/lab/simulation/wire_sizes.py
@@ -1,4 +1,4 @@
-"""Sizes in bytes of the messages, from the forms of PROTOCOL (RESP2 commands, discovery's JSON)."""
+"""Messages as the protocol specification encodes them (RESP2 commands, discovery's JSON), and their sizes."""
 
 from __future__ import annotations
 
@@ -21,36 +21,39 @@
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 1000000\r\n\r\n"
 )
 EMPTY_LIST_BYTES = len(b'{"version":41000,"full":false,"servers":[]}')
-VALUE_BYTES = 64  # a value of the client's choosing; 64 KiB at most (PROTOCOL), small ones are assumed
+VALUE_BYTES = 64  # Size of a response's value; the protocol specification allows up to 64 KiB.
 
 
 def resp_command(*words: str) -> bytes:
-    """Return a RESP2 command: an array of bulk strings."""
+    """Return a RESP2 command, encoded as an array of bulk strings."""
     bulk_strings = b"".join(b"$%d\r\n%s\r\n" % (len(word), word.encode()) for word in words)
     return b"*%d\r\n" % len(words) + bulk_strings
 
 
 def call_get(
-    customer: str, request_id: str, plan: str, left_ms: float, units: float, gateway_count: int
+    customer: str, request_id: str, plan: str, remaining_ms: float, units: float, gateway_count: int
 ) -> bytes:
-    """Return a client's command, which is forwarded to a server unchanged but for `d`, the time left."""
-    fields = f"c=valuacion,t={plan},d={left_ms:.0f},units={units:.0f},spread={gateway_count},first=1000"
+    """Return a client's command.
+
+    The gateway forwards it to a server unchanged except for `d`, the remaining time until the deadline, ms.
+    """
+    fields = f"c=valuacion,t={plan},d={remaining_ms:.0f},units={units:.0f},spread={gateway_count},first=1000"
     return resp_command("CALL.GET", customer, request_id, fields)
 
 
 def incrttl(key: int, amount: float, ttl_ms: float) -> bytes:
-    """Return a call to the counter."""
+    """Return the command that adds an amount to a key of the shared counter; the TTL is in ms."""
     return resp_command("INCRTTL", str(key), f"{amount:.3f}", f"{ttl_ms:.0f}")
 
 
 def endpoint_list(endpoints: Iterable[Endpoint], version: int, full: bool) -> bytes:
-    """Return a snapshot of the endpoint list (`full`), or changes to it, as discovery writes them."""
+    """Return an answer of discovery: a snapshot of the endpoint list if `full`, else a delta."""
     rows = [_endpoint_row(endpoint) for endpoint in endpoints]
     return json.dumps({"version": version, "full": full, "servers": rows}, separators=(",", ":")).encode()
 
 
 def endpoint_bytes(endpoint: Endpoint) -> int:
-    """Return the size of one endpoint in a list, the comma included."""
+    """Return the size of one endpoint in a list, including the separating comma, bytes."""
     return len(json.dumps(_endpoint_row(endpoint), separators=(",", ":"))) + 1
 
 
