--- a/quota_gateway/lab/simulation/server_attempts.py
+++ b/quota_gateway/lab/simulation/server_attempts.py
@@ -16,16 +16,15 @@
 from quota_gateway.policy_api.actions import StartAttempt
 from quota_gateway.policy_api.events import AttemptCompleted, CallOutcome
 
-DISCONNECT_NOTICE_MS = (
-    100.0  # an attempt that begins this long after its client has gone breaks a rule (letter)
-)
-VALUE_FRAMING_BYTES = 24  # of a value, from a server
-LONG_AGO = -1e9
-HANDSHAKE_FACTOR = 3.0  # a connection comes up first: one round trip more than the way there
+# Time after a client's disconnect from which a new attempt for it is a rule violation.
+DISCONNECT_NOTICE_MS = 100.0
+SERVER_VALUE_FRAMING_BYTES = 24  # Protocol overhead of a value that a server sends.
+NEVER_USED_AT_MS = -1e9  # Time of the last use of a connection that does not exist.
+HANDSHAKE_FACTOR = 3.0  # A new connection needs a round trip before the request's one-way delay.
 
 
 class ServerAttempts:
-    """Carries out the attempts that the policy starts; each is completed once."""
+    """Carries out the attempts that the policy starts; each one completes exactly once."""
 
     def __init__(
         self, environment: Environment, host: GatewayHost, notices: EndpointNotices, max_attempts: int
@@ -34,20 +33,24 @@
         self._host = host
         self._notices = notices
         self._max_attempts = max_attempts
-        self._connection_used_at: dict[str, float] = {}  # by server
+        self._connection_used_at: dict[str, float] = {}  # Time of the last use, by name of the server.
 
     def clear(self) -> None:
-        """Close all connections: the process is gone."""
+        """Close all connections after the gateway's process was killed."""
         self._connection_used_at.clear()
 
     def abort(self, attempt: ServerAttempt) -> None:
-        """End an attempt in flight without notifying the policy, whose process is gone."""
+        """Cancel an attempt in flight without an event to the policy, whose process was killed."""
         attempt.in_flight = False
         if attempt.task is not None:
             attempt.server.cancel(attempt.task)
 
     def start(self, action: StartAttempt) -> None:
-        """Start an attempt, or complete it as not sent."""
+        """Start an attempt.
+
+        It completes as not sent if the request is unknown, out of time or out of attempts, or if another
+        attempt for it is in flight.
+        """
         now = self._environment.scheduler.now
         client_attempt = self._host.pending.get(action.request_id)
         if client_attempt is None:
@@ -66,12 +69,13 @@
         self._notices.check_drain(server)
         if client_attempt.closed and now - client_attempt.closed_at > DISCONNECT_NOTICE_MS:
             self._environment.metrics.violations[RuleViolation.ATTEMPT_AFTER_DISCONNECT] += 1
-        attempt = client_attempt.current = ServerAttempt(client_attempt, number, server, now)
+        attempt = ServerAttempt(client_attempt, number, server, now)
+        client_attempt.current = attempt
         self._environment.scheduler.schedule_after(timeout_ms, self._complete, attempt, CallOutcome.TIMEOUT)
         self._send(attempt)
 
     def cancel(self, request_id: str, number: int) -> None:
-        """Stop waiting for an attempt."""
+        """Cancel an attempt; it completes as cancelled unless it has completed before."""
         client_attempt = self._host.pending.get(request_id)
         attempt = client_attempt.current if client_attempt is not None else None
         if attempt is not None and attempt.number == number:
@@ -84,9 +88,11 @@
         self._environment.scheduler.schedule_after(0.0, self._host.post_to, self._host.incarnation, event)
 
     def _send(self, attempt: ServerAttempt) -> None:
-        """Connect if need be, and put the request on its way to the server's machine."""
-        environment, server = self._environment, attempt.server
-        scheduler, config = environment.scheduler, environment.experiment.servers
+        """Connect to the server unless a connection exists, and forward the request if that succeeds."""
+        environment = self._environment
+        server = attempt.server
+        scheduler = environment.scheduler
+        config = environment.experiment.servers
         delay = environment.network.sample_delay(self._host.location, server.location)
         if server.state is ServerState.VANISHED or delay is None:
             environment.metrics.count_message(Role.SERVER, Message.UNREACHABLE)
@@ -94,7 +100,7 @@
                 config.connect_timeout_ms, self._complete, attempt, CallOutcome.UNREACHABLE
             )
             return
-        used_at = self._connection_used_at.get(server.name, LONG_AGO)
+        used_at = self._connection_used_at.get(server.name, NEVER_USED_AT_MS)
         if scheduler.now - used_at > config.idle_timeout_ms:
             environment.metrics.count_message(Role.SERVER, Message.HANDSHAKES)
             delay *= HANDSHAKE_FACTOR
@@ -105,8 +111,10 @@
         self._forward(attempt, delay)
 
     def _forward(self, attempt: ServerAttempt, delay: float) -> None:
-        """Send the request over a connection; it arrives after the delay, ms."""
-        environment, server, client_attempt = self._environment, attempt.server, attempt.client_attempt
+        """Send the request to the server, where it arrives after the delay, ms."""
+        environment = self._environment
+        server = attempt.server
+        client_attempt = attempt.client_attempt
         self._record_forwarded(client_attempt)
         attempt.task = ServerTask(
             client_attempt.request.work * server.service_time_ms,
@@ -124,7 +132,7 @@
             self._environment.quotas.record_forwarded(client_attempt)
 
     def _arrive(self, attempt: ServerAttempt) -> None:
-        """Hand the request to the server."""
+        """Pass the request to the server; a server that went down meanwhile resets the connection."""
         if attempt.in_flight and attempt.task is not None:
             if attempt.server.state is ServerState.DOWN:
                 self._return_response(attempt, self._host.incarnation, CallOutcome.RESET)
@@ -132,15 +140,17 @@
                 attempt.server.accept(attempt.task)
 
     def _return_response(self, attempt: ServerAttempt, incarnation: int, outcome: CallOutcome) -> None:
-        """Send a server's response on its way back."""
+        """Send a server's response to the gateway, unless its process was replaced meanwhile."""
         network = self._environment.network
         delay = network.sample_delay(attempt.server.location, self._host.location)
         if delay is not None and incarnation == self._host.incarnation:
             self._environment.scheduler.schedule_after(delay, self._complete, attempt, outcome)
 
     def _complete(self, attempt: ServerAttempt, outcome: CallOutcome) -> None:
-        """Complete an attempt; a good response goes to the client before the policy hears of it."""
-        host, environment, client_attempt = self._host, self._environment, attempt.client_attempt
+        """Complete an attempt. A successful response goes to the client before the policy gets the event."""
+        host = self._host
+        environment = self._environment
+        client_attempt = attempt.client_attempt
         if not attempt.in_flight or not host.alive:
             return
         attempt.in_flight = False
@@ -149,9 +159,11 @@
         environment.metrics.attempt_outcomes[outcome.value] += 1
         if outcome in (CallOutcome.TIMEOUT, CallOutcome.CANCELLED) and attempt.task is not None:
             attempt.server.cancel(attempt.task)
-        attempt.task = None  # it refers back to the attempt: no work for the collector of cycles
+        attempt.task = None  # Breaks the reference cycle, which the garbage collector would have to find.
         if outcome is CallOutcome.OK:
-            environment.metrics.count_message(Role.GATEWAY, Message.VALUES, VALUE_BYTES + VALUE_FRAMING_BYTES)
+            environment.metrics.count_message(
+                Role.GATEWAY, Message.VALUES, VALUE_BYTES + SERVER_VALUE_FRAMING_BYTES
+            )
             if host.pending.pop(client_attempt.request_id, None) is not None and not client_attempt.closed:
                 environment.clients.complete(client_attempt, Answer.SERVED)
         host.post(
