--- a/quota_gateway/lab/simulation/records.py
+++ b/quota_gateway/lab/simulation/records.py
@@ -1,4 +1,4 @@
-"""Records that the models of clients and of gateways share, and what a client needs of a gateway."""
+"""Records that the models of clients and gateways share, and the interface of a gateway to clients."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class ClientFacingGateway(Protocol):
-    """A gateway as clients see it.
+    """A gateway as seen by clients and their load balancer.
 
     Attributes:
         alive: whether its process runs.
-        ready_at: when a restarted gateway takes requests again, ms.
-        failure_noticed_at: when clients notice that it has died, ms.
+        ready_at: time from which a restarted gateway accepts requests, ms.
+        failure_noticed_at: time at which the load balancer notices that the process was killed, ms.
     """
 
     alive: bool
@@ -28,31 +28,45 @@
     failure_noticed_at: float
 
     def accept(self, attempt: ClientAttempt) -> None:
-        """Take a client's attempt."""
+        """Accept a client's attempt."""
 
     def disconnect(self, attempt: ClientAttempt) -> None:
-        """Note that the client of an attempt has gone."""
+        """Close an attempt whose client disconnected or timed out."""
 
 
 @dataclass(slots=True, eq=False)
 class Tenant:
-    """A customer, with the true state of its quota: an attempt counts when it is first forwarded (BENCH)."""
+    """A customer, its demand and the true state of its quota.
+
+    Attributes:
+        key: key that identifies the customer in requests.
+        first_gateway: index of the first of its gateways, modulo the number of gateways in the pool.
+        gateway_count: number of its gateways, which are consecutive in the pool.
+        weight_seed: determines which of its gateways gets the largest weight at which time.
+        weight_shift_ms: interval at which the weights move to others of its gateways.
+        demand_per_s: first attempts per second.
+        quota_level: units in the token bucket of the quota; an attempt counts when it is first forwarded.
+        hard_limit_level: units in the token bucket of the hard limit; negative while the limit is exceeded.
+        reference_level: units in the token bucket of a reference gateway that would see all first attempts.
+        refilled_at: time of the last refill, ms.
+        spike_demand_per_s: first attempts per second during a spike; 0 for a tenant without spikes.
+    """
 
     key: str
     plan: Plan
-    first_gateway: int  # of its gateways in the pool ...
-    gateway_count: int  # ... and how many follow, counted round
-    weight_seed: int  # moves the weights of its gateways
-    weight_shift_ms: float  # they move on after this
-    demand_per_s: float  # first attempts
-    quota_level: float  # units in its token bucket
-    hard_limit_level: float  # units left below the hard limit
-    reference_level: float  # token bucket of one gateway that sees all first attempts, the reference (BENCH)
+    first_gateway: int
+    gateway_count: int
+    weight_seed: int
+    weight_shift_ms: float
+    demand_per_s: float
+    quota_level: float
+    hard_limit_level: float
+    reference_level: float
     refilled_at: float
-    spike_demand_per_s: float = 0.0  # during a spike; 0: it has none
+    spike_demand_per_s: float = 0.0
 
     def refill(self, now: float) -> None:
-        """Bring the levels up to a moment, ms."""
+        """Refill the token buckets for the time since the last refill."""
         elapsed_s = (now - self.refilled_at) / 1000.0
         plan = self.plan
         self.refilled_at = now
@@ -64,15 +78,20 @@
 
 @dataclass(slots=True)
 class Pool:
-    """Tenants and gateways that share an endpoint list."""
+    """Tenants and gateways that share an endpoint list.
+
+    Attributes:
+        cumulative_shares: cumulative shares of the tenants in the pool's demand, in the order of `tenants`.
+        demand_per_s: first attempts per second of all tenants together.
+    """
 
     tenants: list[Tenant] = field(default_factory=list)
     gateways: list[ClientFacingGateway] = field(default_factory=list)
-    cumulative_shares: FloatArray = field(default_factory=lambda: np.zeros(0))  # of the demand, by tenant
+    cumulative_shares: FloatArray = field(default_factory=lambda: np.zeros(0))
     demand_per_s: float = 0.0
 
     def update_demand(self) -> None:
-        """Follow a change of tenants' demand."""
+        """Recompute the pool's demand after a change of its tenants' demand."""
         demands = np.array([tenant.demand_per_s for tenant in self.tenants])
         self.demand_per_s = float(demands.sum())
         self.cumulative_shares = np.cumsum(demands) / max(self.demand_per_s, 1e-12)
@@ -80,38 +99,64 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class ClientRequest:
-    """What a client wants, over all its attempts."""
+    """A request of a client, which all its attempts share.
+
+    Attributes:
+        work: work at a server, as a multiple of a mean request's.
+        first_attempt_at: time of the first attempt, ms.
+    """
 
     pool: Pool
     tenant: Tenant
     units: float
-    work: float  # in mean requests
+    work: float
     first_attempt_at: float
 
 
 @dataclass(slots=True, eq=False)
 class ClientAttempt:
-    """One attempt of a client, with its own request id, deadline and single answer."""
+    """One attempt of a client, with its own request id, its own deadline and at most one answer.
+
+    Attributes:
+        retries: number of attempts before this one; 0 for the first attempt.
+        arrived_at: time of arrival at the gateway, ms.
+        deadline: time at which the client stops waiting, ms.
+        server_attempts: number of attempts at servers that the gateway has made for it.
+        current: the attempt at a server that is in flight.
+        forwarded: whether it was forwarded to a server at least once.
+        within_quota: whether it was within the customer's quota when it was first forwarded.
+        closed: whether it was answered or abandoned by the client.
+        closed_at: time at which it was closed, ms.
+        wait_recorded: whether its wait was recorded, at its first forwarding or its rejection.
+        waiting_ns: processor time of the policy for its `Request` event, if it was not decided at once.
+    """
 
     request_id: str
     request: ClientRequest
-    retries: int  # before it; 0: the first attempt
+    retries: int
     arrived_at: float
     deadline: float
     gateway: ClientFacingGateway | None = None
-    server_attempts: int = 0  # made for it by the gateway so far
-    current: ServerAttempt | None = None  # in flight
+    server_attempts: int = 0
+    current: ServerAttempt | None = None
     forwarded: bool = False
-    within_quota: bool = False  # when it was first forwarded
-    closed: bool = False  # answered, or nobody waits for it any more
+    within_quota: bool = False
+    closed: bool = False
     closed_at: float = 0.0
-    wait_recorded: bool = False  # it was forwarded or rejected
-    waiting_ns: int = 0  # processor time of the policy before that, if it had to wait
+    wait_recorded: bool = False
+    waiting_ns: int = 0
 
 
 @dataclass(slots=True, eq=False)
 class ServerAttempt:
-    """An attempt of a gateway at a server."""
+    """An attempt of a gateway at a server.
+
+    Attributes:
+        number: index among the attempts for the same client attempt, from 0.
+        sent_at: time at which the policy started it, ms.
+        task: the request at the server; None before it is sent and after the attempt completed.
+        in_flight: whether the attempt has not completed yet.
+    """
 
     client_attempt: ClientAttempt
     number: int
