--- a/quota_gateway/lab/simulation/arrivals.py
+++ b/quota_gateway/lab/simulation/arrivals.py
@@ -1,4 +1,4 @@
-"""Arrivals of clients' first attempts: a Poisson process a pool, with spikes of single tenants."""
+"""Arrivals of clients' first attempts: one Poisson process per pool, with spikes of single tenants."""
 
 from __future__ import annotations
 
@@ -14,18 +14,26 @@
 from quota_gateway.lab.simulation.scheduler import EventScheduler
 from quota_gateway.lab.simulation.tenants import mean_units, unit_shares
 
-BATCH_MS = 500.0  # arrivals are drawn for this long at a time
-MIN_VARIATION = 1e-3  # of the work; the gamma distribution has none of zero variation
+BATCH_MS = 500.0  # Simulated time for which arrivals are drawn at once.
+# Smallest coefficient of variation of the work; the gamma distribution is not defined for zero.
+MIN_SERVICE_TIME_VARIATION = 1e-3
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A first attempt that is to come."""
+    """The scheduled first attempt of a request.
+
+    Attributes:
+        at: time of the attempt, ms.
+        tenant: index of the tenant in its pool.
+        units: units of the request.
+        work: work at a server, as a multiple of a mean request's.
+    """
 
     at: float
-    tenant: int  # index in the pool
+    tenant: int
     units: float
-    work: float  # in mean requests
+    work: float
 
 
 class PoolArrivals:
@@ -48,11 +56,11 @@
         self._max_units = experiment.load.max_units
         self._unit_shares = unit_shares(self._max_units)
         self._mean_units = mean_units(self._max_units)
-        self._variation = max(experiment.servers.service_time_variation, MIN_VARIATION)
-        self._batch: list[Arrival] = []  # latest first
+        self._variation = max(experiment.servers.service_time_variation, MIN_SERVICE_TIME_VARIATION)
+        self._batch: list[Arrival] = []  # In reverse order of time: the next arrival is the last element.
 
     def draw_batch(self) -> None:
-        """Draw the arrivals of the next while, and schedule the batch after it."""
+        """Draw the arrivals of the next `BATCH_MS`, and schedule the drawing of the batch after it."""
         now = self._scheduler.now
         if now >= self._clients.end:
             return
@@ -63,7 +71,9 @@
             self._scheduler.schedule_at(self._batch[-1].at, self._arrive)
 
     def _sample(self, now: float) -> list[Arrival]:
-        rng, pool, variation = self._rng, self.pool, self._variation
+        rng = self._rng
+        pool = self.pool
+        variation = self._variation
         count = int(rng.poisson(pool.demand_per_s * BATCH_MS / 1000.0))
         times = np.sort(rng.random(count)) * BATCH_MS + now
         tenants = np.searchsorted(pool.cumulative_shares, rng.random(count))
@@ -105,7 +115,7 @@
         ]
 
     def start(self, end: float) -> None:
-        """Begin the arrivals, which go on to a moment, ms."""
+        """Start the arrivals and the spikes; they end at the given simulated time, ms."""
         self._clients.end = end
         for arrivals in self._pools:
             pool = arrivals.pool
@@ -113,11 +123,14 @@
             arrivals.draw_batch()
             for tenant in pool.tenants:
                 if tenant.spike_demand_per_s:
-                    first = self._spike_rng.uniform(0.0, 1000.0 * self._load.spike_interval_s[1])
-                    self._scheduler.schedule_after(first, self._begin_spike, pool, tenant)
+                    delay_ms = self._spike_rng.uniform(0.0, 1000.0 * self._load.spike_interval_s[1])
+                    self._scheduler.schedule_after(delay_ms, self._begin_spike, pool, tenant)
 
     def _begin_spike(self, pool: Pool, tenant: Tenant) -> None:
-        """Raise a tenant's demand for a while, from the next batch on, and schedule its next spike."""
+        """Raise a tenant's demand for the duration of a spike, and schedule its next one.
+
+        A change of demand takes effect with the next batch of arrivals.
+        """
         if self._scheduler.now >= self._clients.end:
             return
         factor = max(1.0, tenant.spike_demand_per_s / tenant.demand_per_s)
