--- a/quota_gateway/lab/simulation/tenants.py
+++ b/quota_gateway/lab/simulation/tenants.py
@@ -1,4 +1,4 @@
-"""Builds plans and tenants so that their demand and quotas agree with the experiment."""
+"""Builds plans and tenants whose demand and quotas add up to the figures of the experiment."""
 
 from __future__ import annotations
 
@@ -12,17 +12,24 @@
 from quota_gateway.lab.simulation.records import FloatArray, Tenant
 from quota_gateway.settings import Plan
 
-GOLDEN_RATIO_CONJUGATE = 0.6180339887498949  # the fractions of its multiples lie evenly between 0 and 1
-# A burst holds this many of the largest requests at least, and more under a hard limit; the hard limit's
-# slack is a share of its burst, or one such request (BENCH).
+# The fractional parts of its multiples are spread evenly over 0 to 1.
+GOLDEN_RATIO_CONJUGATE = 0.6180339887498949
+# Smallest burst of a plan, as a number of requests of the largest size.
 MIN_BURST_REQUESTS = 2.0
 MIN_BURST_REQUESTS_HARD_LIMIT = 4.0
+# Slack of a hard limit, as a share of the hard limit's burst; at least one request of the largest size.
 HARD_LIMIT_SLACK_SHARE = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class PlanTenants:
-    """A plan at its true rate, and how many of all tenants are on it."""
+    """A plan and the number of its tenants.
+
+    Attributes:
+        plan: the plan with its scaled rates.
+        config: the plan as the experiment file describes it.
+        tenant_count: number of tenants on the plan, including those that are not simulated.
+    """
 
     plan: Plan
     config: PlanConfig
@@ -30,29 +37,32 @@
 
 
 def unit_shares(max_units: int) -> FloatArray:
-    """Return the shares of requests of 1, 2 ... units: half have one, a quarter two, and so on (assumed)."""
+    """Return the shares of requests with 1, 2, ... `max_units` units.
+
+    They halve with each unit: about half of the requests have one unit, a quarter has two, and so on.
+    """
     weights = 0.5 ** np.arange(1, max_units + 1)
     shares: FloatArray = weights / weights.sum()
     return shares
 
 
 def mean_units(max_units: int) -> float:
-    """Return the units of a mean request."""
+    """Return the mean number of units of a request."""
     weights = 0.5 ** np.arange(1, max_units + 1)
     return float((np.arange(1, max_units + 1) * weights).sum() / weights.sum())
 
 
 def build_plans(experiment: Experiment) -> tuple[PlanTenants, ...]:
-    """Return the plans with their rates and numbers of tenants.
+    """Return the plans with their scaled rates and their numbers of tenants.
 
-    Tenants of a plan are as many as its share of the use needs at its rate; one factor on all rates makes the
-    demand `load.quota_utilization` times the sum of the quotas.
+    The number of a plan's tenants is proportional to `usage_share / relative_rate`. One factor scales the
+    rates of all plans, so that the total demand is `load.quota_utilization` times the sum of all quotas.
     """
     load = experiment.load
-    tenants_by_plan = np.array([plan.usage_share / plan.relative_rate for plan in experiment.plans])
-    shares = (tenants_by_plan / tenants_by_plan.sum()).tolist()
+    relative_counts = np.array([plan.usage_share / plan.relative_rate for plan in experiment.plans])
+    shares = (relative_counts / relative_counts.sum()).tolist()
     counts = [max(1, round(load.tenants * share)) for share in shares]
-    demand = load.requests_per_s * mean_units(load.max_units)  # units a second
+    demand = load.requests_per_s * mean_units(load.max_units)  # Units per second.
     relative_quotas = sum(
         count * plan.relative_rate for count, plan in zip(counts, experiment.plans, strict=True)
     )
@@ -81,50 +91,56 @@
 
 
 def build_tenants(experiment: Experiment, plans: tuple[PlanTenants, ...], seed: int) -> list[Tenant]:
-    """Return the tenants that are simulated, `load.sampled_share` of all, in random order."""
+    """Return the simulated tenants, `load.sampled_share` of all, in random order."""
     load = experiment.load
-    rng, demand_rng = random_stream(seed, "tenants"), random_stream(seed, "habits")
+    rng = random_stream(seed, "tenants")
+    demand_rng = random_stream(seed, "habits")
     tenants: list[Tenant] = []
-    for each in plans:
-        mean_quota = each.plan.rate / mean_units(load.max_units)  # in requests a second
-        for demand in _ordinary_demands(experiment, each):
-            # Heavy and spiky tenants lie evenly over ranks and plans.
+    for plan_tenants in plans:
+        # The quota in requests of mean size per second.
+        mean_quota = plan_tenants.plan.rate / mean_units(load.max_units)
+        for demand in _ordinary_demands(experiment, plan_tenants):
+            # A low-discrepancy sequence spreads heavy and spiky tenants evenly over ranks and plans.
             position = (len(tenants) + 0.5) * GOLDEN_RATIO_CONJUGATE % 1.0
             spike = 0.0
             if position < load.heavy_share:
                 demand = max(demand, mean_quota * demand_rng.uniform(*load.heavy_factor))
             elif position < load.heavy_share + load.spiky_share:
                 spike = mean_quota * demand_rng.uniform(*load.spike_factor)
-            tenants.append(_build_tenant(load, each.plan, demand, spike, rng))
+            tenants.append(_build_tenant(load, plan_tenants.plan, demand, spike, rng))
     rng.shuffle(tenants)
     return tenants
 
 
-def _ordinary_demands(experiment: Experiment, plan: PlanTenants) -> list[float]:
-    """Return the requests a second of each simulated tenant of a plan, heavy and spiky habits aside."""
-    load, count = experiment.load, plan.tenant_count
-    # What the others ask for, as a share of what all would if none were heavy or had spikes.
+def _ordinary_demands(experiment: Experiment, plan_tenants: PlanTenants) -> list[float]:
+    """Return the requests per second of each simulated tenant of a plan without spikes and heavy demand."""
+    load = experiment.load
+    count = plan_tenants.tenant_count
+    usage_share = plan_tenants.config.usage_share
+    # Demand of an ordinary tenant, relative to a load without heavy tenants and spikes. It is smaller, so
+    # that their demand fits into the total.
     ordinary_share = (1.0 - excess_utilization(load) / load.quota_utilization) / max(
         1e-9, 1.0 - load.heavy_share
     )
     total_share = sum(config.usage_share for config in experiment.plans)
     weights = np.arange(1, count + 1) ** -load.zipf_exponent
-    demands = weights / weights.sum() * load.requests_per_s * plan.config.usage_share / total_share
-    sampled = max(1, round(count * load.sampled_share))
-    # Evenly over the ranks, so that the sample has the whole's share of heavy tenants; then scaled to its
-    # rate.
-    sample = demands[((np.arange(sampled) + 0.5) * count / sampled).astype(int)]
-    plan_rate = (
-        ordinary_share * load.requests_per_s * load.sampled_share * plan.config.usage_share / total_share
-    )
-    sample *= plan_rate / sample.sum()
-    mean_quota = plan.plan.rate / mean_units(load.max_units)
-    limited: list[float] = np.minimum(sample, load.max_quota_utilization * mean_quota).tolist()
-    return limited
+    demands = weights / weights.sum() * load.requests_per_s * usage_share / total_share
+    sample_size = max(1, round(count * load.sampled_share))
+    # Samples evenly spaced ranks, so that the sample has the same distribution of demand as all tenants, and
+    # scales the sample to its share of the plan's demand.
+    sample = demands[((np.arange(sample_size) + 0.5) * count / sample_size).astype(int)]
+    sample_rate = ordinary_share * load.requests_per_s * load.sampled_share * usage_share / total_share
+    sample *= sample_rate / sample.sum()
+    mean_quota = plan_tenants.plan.rate / mean_units(load.max_units)
+    limited_demands: list[float] = np.minimum(sample, load.max_quota_utilization * mean_quota).tolist()
+    return limited_demands
 
 
 def _build_tenant(load: LoadConfig, plan: Plan, demand: float, spike: float, rng: random.Random) -> Tenant:
-    """Draw the rest of a tenant. The order of the draws is part of what a seed means."""
+    """Return a tenant with randomly drawn properties.
+
+    The order of the draws must not change: it determines the tenants that a seed gives.
+    """
     return Tenant(
         key=f"{rng.randrange(1 << 33):016x}",
         plan=plan,
