--- a/quota_gateway/lab/simulation/experiment_keys.py
+++ b/quota_gateway/lab/simulation/experiment_keys.py
@@ -1,7 +1,8 @@
-"""Former keys of experiment files: they are still read, and result files keep them.
+"""Former keys of experiment files, which are still read and which result files still use.
 
-This is the one place that maps them to the fields of `experiment`. Experiment files may use either name; the
-`experiment` section of a result file has the former ones, so that results of all versions can be compared.
+This is the only module that maps them to the fields of `experiment`. Experiment files may use either name.
+The `experiment` section of a result file has the former ones, so that results of all versions can be
+compared.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 from quota_gateway.lab.simulation.experiment import Experiment
 
-# By table; former name: field. The top level is "".
+# Field by former name, for each table of the file. The name of the top level is "".
 FORMER_KEYS: dict[str, dict[str, str]] = {
     "": {"seconds": "duration_s"},
     "fleet": {"visible": "visible_servers"},
@@ -87,6 +88,7 @@
     },
     "faults": {"for_s": "duration_s", "down_ms": "downtime_ms"},
 }
+# Kind of fault by former name.
 FORMER_FAULT_KINDS = {
     "zone_cut": "zone_isolated",
     "regions_apart": "regions_partitioned",
@@ -100,10 +102,10 @@
 def rename_former_keys(document: dict[str, Any]) -> dict[str, str]:
     """Rename the former keys of an experiment file in place.
 
-    A former key stays where the file has its present name too, and so is reported as unknown.
+    A former key is not renamed if the table has the present key too; it is then reported as unknown.
 
     Returns:
-        The path of each renamed key as the file writes it, by its present path.
+        The path of each renamed key in the file, by its present path.
     """
     as_written: dict[str, str] = {}
     for name, path, table in _tables(document):
@@ -118,7 +120,7 @@
 
 
 def result_section(experiment: Experiment) -> dict[str, Any]:
-    """Return an experiment for a result file, with the former keys."""
+    """Return the `experiment` section of a result file, which has the former keys."""
     document: dict[str, Any] = msgspec.to_builtins(experiment)
     former_kinds = {present: former for former, present in FORMER_FAULT_KINDS.items()}
     for name, _, table in _tables(document):
@@ -130,13 +132,13 @@
 
 
 def _tables(document: dict[str, Any]) -> list[tuple[str, str, dict[str, Any]]]:
-    """Return each table's name, the prefix of its keys' paths and its content; the top level first."""
+    """Return the name, the path prefix of the keys, and the content of each table; the top level is first."""
     tables = [("", "", document)]
     for name in FORMER_KEYS:
-        value = document.get(name)
-        if isinstance(value, dict):
-            tables.append((name, f"{name}.", value))
-        elif isinstance(value, list | tuple):
-            rows = [(f"{name}[{index}].", row) for index, row in enumerate(value) if isinstance(row, dict)]
+        content = document.get(name)
+        if isinstance(content, dict):
+            tables.append((name, f"{name}.", content))
+        elif isinstance(content, list | tuple):
+            rows = [(f"{name}[{index}].", row) for index, row in enumerate(content) if isinstance(row, dict)]
             tables += [(name, path, row) for path, row in rows]
     return tables
--- a/quota_gateway/lab/simulation/experiment_validation.py
+++ b/quota_gateway/lab/simulation/experiment_validation.py
@@ -1,4 +1,4 @@
-"""Checks of an experiment beyond its types: sizes that fit together, faults that can happen."""
+"""Checks of an experiment that types cannot express: sizes that fit together, faults that can be injected."""
 
 from __future__ import annotations
 
@@ -9,16 +9,18 @@
 from quota_gateway.lab.simulation.experiment_keys import rename_former_keys
 from quota_gateway.lab.toml_config import Problem, Table, load_config
 
-MAX_MEMORY_BYTES = 12e9  # that an experiment may need
-MAX_REQUESTS = 20_000_000.0  # arrivals of one experiment; more would run for days
-# Memory of a run, roughly; `quota-gateway lab slopes` measures it.
+MAX_MEMORY_BYTES = 12e9  # Largest estimated memory of a run.
+MAX_REQUESTS = 20_000_000.0  # Largest number of first attempts in a run; more would take days.
+MAX_EXCESS_SHARE = 0.95  # Largest share of the total demand that heavy tenants and spikes may have.
+
+# Estimated memory of one object; `quota-gateway lab slopes` measures the actual memory of a run.
 GATEWAY_BYTES = 30_000.0
-ENDPOINT_RECORD_BYTES = 500.0  # of one endpoint in one gateway
+ENDPOINT_RECORD_BYTES = 500.0  # One endpoint in one gateway.
 SERVER_BYTES = 2_000.0
-TENANT_RECORD_BYTES = 6_000.0  # of one tenant in one gateway
-REQUEST_BYTES = 3_000.0  # until the deadline has passed
+TENANT_RECORD_BYTES = 6_000.0  # One tenant in one gateway.
+REQUEST_BYTES = 3_000.0  # One request, which is kept until its deadline.
 
-LASTING_FAULTS = (
+FAULTS_WITH_DURATION = (
     "zone_isolated",
     "regions_partitioned",
     "rack_lost",
@@ -27,7 +29,7 @@
     "counter_unavailable",
     "demand_surge",
 )
-SIZED_FAULTS = (
+FAULTS_WITH_SIZE = (
     "rack_lost",
     "servers_hung",
     "servers_crashed",
@@ -38,12 +40,16 @@
 
 
 def load_experiment(path: Path) -> Experiment:
-    """Read and check an experiment. Raises ConfigFileError."""
+    """Read and check an experiment file.
+
+    Raises:
+        ConfigFileError: the file cannot be read, or its content is invalid.
+    """
     return load_config(path, Experiment, find_problem, rename_former_keys)
 
 
 def find_problem(experiment: Experiment) -> Problem | None:
-    """Return the first thing that is wrong with an experiment, None if it can be run."""
+    """Return the first problem of an experiment, None if it can be run."""
     checks = (
         _inverted_ranges,
         _inconsistent_sizes,
@@ -55,8 +61,9 @@
 
 
 def estimated_memory(experiment: Experiment) -> dict[str, float]:
-    """Return the bytes that a run needs, roughly, by the key that asks for most of them."""
-    fleet, load = experiment.fleet, experiment.load
+    """Return the estimated memory of a run, bytes, by the key of the experiment that causes it."""
+    fleet = experiment.fleet
+    load = experiment.load
     gateway_bytes = experiment.visible_servers * ENDPOINT_RECORD_BYTES + GATEWAY_BYTES
     tenants = load.tenants * load.sampled_share
     requests_per_s = load.requests_per_s * load.sampled_share
@@ -89,23 +96,29 @@
 
 
 def _inconsistent_sizes(experiment: Experiment) -> Iterator[Problem]:
-    fleet, load, pools = experiment.fleet, experiment.load, experiment.pool_count
+    fleet = experiment.fleet
+    load = experiment.load
+    clients = experiment.clients
+    pools = experiment.pool_count
+    gateways_per_pool = max(1, fleet.gateways // pools)
     if experiment.visible_servers > fleet.servers:
-        yield Problem("fleet.visible_servers", f"more than the {fleet.servers} servers")
+        yield Problem("fleet.visible_servers", f"more than the {fleet.servers} servers of the fleet")
     if fleet.zones < fleet.regions:
-        yield Problem("fleet.zones", f"fewer than the {fleet.regions} regions")
+        yield Problem("fleet.zones", f"fewer than the {fleet.regions} regions; each region needs a zone")
     if fleet.gateways < pools:
-        yield Problem("fleet.gateways", f"fewer than the {pools} pools of servers")
+        yield Problem("fleet.gateways", f"fewer than the {pools} pools of servers; each pool needs a gateway")
     if load.tenants * load.sampled_share < pools:
-        yield Problem("load.tenants", f"in the sampled share fewer than {pools} pools")
-    if load.gateways_per_tenant[1] > max(1, fleet.gateways // pools):
-        yield Problem("load.gateways_per_tenant", "more than a pool's gateways")
-    if experiment.clients.latency_objective_ms > experiment.clients.deadline_ms:
-        yield Problem("clients.latency_objective_ms", "beyond the deadline")
+        reason = f"the sampled tenants are fewer than the {pools} pools of servers; each pool needs a tenant"
+        yield Problem("load.tenants", reason)
+    if load.gateways_per_tenant[1] > gateways_per_pool:
+        yield Problem("load.gateways_per_tenant", f"more than the {gateways_per_pool} gateways of a pool")
+    if clients.latency_objective_ms > clients.deadline_ms:
+        reason = f"longer than the deadline of a request, {clients.deadline_ms:g} ms"
+        yield Problem("clients.latency_objective_ms", reason)
     names = [plan.name for plan in experiment.plans]
     for index, name in enumerate(names):
         if name in names[:index]:
-            yield Problem(f"plans[{index}].name", "another plan has this name")
+            yield Problem(f"plans[{index}].name", f"another plan is named {name!r} too")
 
 
 def _invalid_figures(experiment: Experiment) -> Iterator[Problem]:
@@ -117,28 +130,35 @@
     }
     for key, (low, _) in positive_ranges.items():
         if low <= 0:
-            yield Problem(key, "begins at nothing")
+            yield Problem(key, "the range must begin above 0")
     if load.heavy_share + load.spiky_share > 1.0:
-        yield Problem("load.spiky_share", "more than all tenants, with the heavy ones")
+        reason = f"more than 1 together with the share of heavy tenants, {load.heavy_share:g}"
+        yield Problem("load.spiky_share", reason)
     if load.spike_duration_s[1] >= load.spike_interval_s[0]:
-        yield Problem("load.spike_duration_s", "longer than the time between two spikes")
+        reason = f"longer than the shortest time between two spikes, {load.spike_interval_s[0]:g} s"
+        yield Problem("load.spike_duration_s", reason)
     excess = excess_utilization(load)
-    if excess > 0.95 * load.quota_utilization:
-        yield Problem(
-            "load.quota_utilization", f"heavy and spiky tenants alone ask for {excess:.2f} of the quotas"
+    max_excess = MAX_EXCESS_SHARE * load.quota_utilization
+    if excess > max_excess:
+        reason = (
+            f"heavy and spiky tenants alone ask for {excess:.2f} of the quotas, the limit is {max_excess:.2f}"
         )
+        yield Problem("load.quota_utilization", reason)
 
 
 def _impossible_sizes(experiment: Experiment) -> Iterator[Problem]:
     load = experiment.load
     if load.requests_per_s * load.sampled_share * max(1.0, experiment.duration_s) > MAX_REQUESTS:
-        yield Problem("load.requests_per_s", f"impossible size: more than {MAX_REQUESTS:.0f} requests")
+        yield Problem(
+            "load.requests_per_s", f"impossible size: more than {MAX_REQUESTS:.0f} requests in the run"
+        )
     bytes_by_key = estimated_memory(experiment)
     total = sum(bytes_by_key.values())
     if total > MAX_MEMORY_BYTES:
         largest = max(bytes_by_key, key=lambda key: bytes_by_key[key])
-        limit = f"{MAX_MEMORY_BYTES / 1e9:.0f}"
-        yield Problem(largest, f"impossible size: about {total / 1e9:.0f} GB of memory, of {limit}")
+        limit = f"{MAX_MEMORY_BYTES / 1e9:.0f} GB"
+        reason = f"impossible size: the run needs about {total / 1e9:.0f} GB of memory, the limit is {limit}"
+        yield Problem(largest, reason)
 
 
 def _impossible_faults(experiment: Experiment) -> Iterator[Problem]:
@@ -147,16 +167,16 @@
 
 
 def _fault_problems(experiment: Experiment, fault: FaultConfig, key: str) -> Iterator[Problem]:
-    available = {"gateways_restarted": experiment.fleet.gateways, "demand_surge": experiment.load.tenants}
-    most = available.get(fault.kind, experiment.fleet.servers)
+    counts = {"gateways_restarted": experiment.fleet.gateways, "demand_surge": experiment.load.tenants}
+    available = counts.get(fault.kind, experiment.fleet.servers)
     if fault.at_s >= experiment.duration_s:
-        yield Problem(f"{key}.at_s", f"after the end, {experiment.duration_s:g} s")
+        yield Problem(f"{key}.at_s", f"after the end of the run at {experiment.duration_s:g} s")
     if fault.kind == "zone_isolated" and fault.zone not in experiment.zone_names:
         reason = f"no zone {fault.zone!r}; there are z0 to z{experiment.fleet.zones - 1}"
         yield Problem(f"{key}.zone", reason)
-    if fault.kind in SIZED_FAULTS and not fault.share and not fault.count:
-        yield Problem(f"{key}.share", "missing: `share` or `count` is needed")
-    if fault.count > most:
-        yield Problem(f"{key}.count", f"more than the {most} there are")
-    if fault.kind in LASTING_FAULTS and not fault.duration_s:
-        yield Problem(f"{key}.duration_s", "missing: it would last for no time")
+    if fault.kind in FAULTS_WITH_SIZE and not fault.share and not fault.count:
+        yield Problem(f"{key}.share", "missing: this kind of fault needs `share` or `count`")
+    if fault.count > available:
+        yield Problem(f"{key}.count", f"more than the {available} that the experiment has")
+    if fault.kind in FAULTS_WITH_DURATION and not fault.duration_s:
+        yield Problem(f"{key}.duration_s", "missing: this kind of fault needs a duration above 0")
