--- a/quota_gateway/lab/simulation/counter.py
+++ b/quota_gateway/lab/simulation/counter.py
@@ -1,4 +1,4 @@
-"""The shared counter: machines of a few partitions, each taking calls in turn (PROTOCOL, brief 7.6)."""
+"""Model of the shared counter: machines with a few partitions, each of which executes one call at a time."""
 
 from __future__ import annotations
 
@@ -13,25 +13,27 @@
 from quota_gateway.policy_api.events import CallOutcome
 
 MAX_TTL_MS = 60_000.0
-EXPIRY_SWEEP_MS = 10_000.0  # expired keys are removed this often; it costs memory only
+EXPIRY_SWEEP_MS = 10_000.0  # Interval at which expired keys are removed to free memory.
 
-Reply = Callable[[CallOutcome, float], None]  # the outcome, and the total of the key after the call
+Reply = Callable[[CallOutcome, float], None]  # Receives the outcome and the key's total after the call.
 
 
 @dataclass(slots=True)
 class Entry:
-    """The total of one key, which expires after the time given in its first call."""
+    """The total of one key, which expires after the TTL of the key's first call."""
 
     total: float
     expires_at: float
 
 
 class Partition:
-    """Takes one call after the other.
+    """A partition of the counter, which executes calls one after the other.
 
     Attributes:
-        call_interval_ms: time that one call takes.
-        free_at: when the calls taken so far will be done, ms.
+        call_interval_ms: execution time of one call, ms.
+        free_at: time at which all calls accepted so far will have been executed, ms.
+        entries: totals by key; expired ones are removed from time to time.
+        swept_at: time of the last removal of expired entries, ms.
     """
 
     def __init__(self, call_interval_ms: float) -> None:
@@ -41,25 +43,26 @@
         self.swept_at = 0.0
 
     def add(self, key: int, amount: float, ttl_ms: float, now: float) -> float:
-        """Add to a key, and return its total."""
+        """Add an amount to a key, and return its total. The TTL is used only if the key has no live entry."""
         if now - self.swept_at > EXPIRY_SWEEP_MS:
             self.entries = {k: entry for k, entry in self.entries.items() if entry.expires_at > now}
             self.swept_at = now
         entry = self.entries.get(key)
         if entry is None or entry.expires_at <= now:
-            entry = self.entries[key] = Entry(0.0, now + max(1.0, min(ttl_ms, MAX_TTL_MS)))
-        entry.total = float(f"{entry.total + amount:.7g}")  # exact to seven digits
+            entry = Entry(0.0, now + max(1.0, min(ttl_ms, MAX_TTL_MS)))
+            self.entries[key] = entry
+        entry.total = float(f"{entry.total + amount:.7g}")  # Totals have seven significant digits.
         return entry.total
 
 
 class SharedCounter:
-    """All machines of the counter. Keys of a region are spread over the partitions that stand there.
+    """All machines of the counter. The keys of a region are spread over the partitions in that region.
 
     Attributes:
-        calls_per_s: rate that one machine bears.
-        processing_ms: time of a call beside the wait for its turn.
-        max_queue_ms: a partition that is booked for longer answers BUSY.
-        silent: whether it answers nothing.
+        calls_per_s: capacity of one machine.
+        processing_ms: latency of a call in addition to its wait for execution, ms.
+        max_queue_ms: queueing time above which a partition answers BUSY, ms.
+        silent: whether the counter is unavailable: it drops all calls.
     """
 
     def __init__(
@@ -84,15 +87,18 @@
         for location in locations:
             partitions = [(location, Partition(call_interval_ms)) for _ in range(config.partitions)]
             self._by_region.setdefault(location.region, []).extend(partitions)
-        self._all = [part for region in sorted(self._by_region) for part in self._by_region[region]]
+        self._all = [located for region in sorted(self._by_region) for located in self._by_region[region]]
 
     def partition_of(self, region: int, key: int) -> tuple[Location, Partition]:
-        """Return the partition that holds a key of a region, with its location."""
+        """Return the partition that holds a key of a region, with its location.
+
+        A region without machines uses those of all regions.
+        """
         partitions = self._by_region.get(region) or self._all
         return partitions[key % len(partitions)]
 
     def call(self, partition: Partition, key: int, amount: float, ttl_ms: float, reply: Reply) -> None:
-        """Take a call; `reply` is called when its answer leaves, if one does."""
+        """Accept a call; `reply` is called when the counter sends the answer, unless the call is lost."""
         now = self.scheduler.now
         if self.silent or (self.config.loss_share and self._rng.random() < self.config.loss_share):
             self.metrics.count_message(Role.COUNTER, Message.LOST)
@@ -106,7 +112,7 @@
         self.scheduler.schedule_at(done_at, self._execute, partition, key, amount, ttl_ms, reply)
 
     def clear(self) -> None:
-        """Lose all entries."""
+        """Remove all entries."""
         for _, partition in self._all:
             partition.entries.clear()
 
--- a/quota_gateway/lab/simulation/counter_calls.py
+++ b/quota_gateway/lab/simulation/counter_calls.py
@@ -1,4 +1,4 @@
-"""A gateway's calls to the shared counter: each gets one reply, those for a key in the order of the calls."""
+"""A gateway's calls to the shared counter: one reply per call, delivered in the order of a key's calls."""
 
 from __future__ import annotations
 
@@ -19,7 +19,14 @@
 
 @dataclass(slots=True, eq=False)
 class PendingCall:
-    """A call whose reply has not been delivered."""
+    """A call whose reply has not been delivered to the policy.
+
+    Attributes:
+        sent_at: time at which the call was sent, ms.
+        incarnation: the gateway process that sent it; its reply is not delivered to a later one.
+        outcome: outcome of the call; None until the reply or the time-out.
+        total: total of the key after the call; 0 unless the outcome is OK.
+    """
 
     key: int
     sent_at: float
@@ -29,33 +36,35 @@
 
 
 class CounterCalls:
-    """Sends calls, and delivers their replies in order (PROTOCOL)."""
+    """Sends calls, and delivers the replies for each key in the order of the calls."""
 
     def __init__(self, environment: Environment, host: GatewayHost, timeout_ms: float) -> None:
         self._environment = environment
         self._host = host
         self._timeout_ms = timeout_ms
-        self._pending: dict[int, deque[PendingCall]] = {}  # by key, in order of the calls
+        self._pending: dict[int, deque[PendingCall]] = {}  # Calls by key, oldest first.
 
     @property
     def pending_count(self) -> int:
-        """Calls whose reply has not been delivered."""
+        """Number of calls whose reply has not been delivered."""
         return sum(len(calls) for calls in self._pending.values())
 
     def clear(self) -> None:
-        """Forget all calls: the process is gone."""
+        """Drop all pending calls after the gateway's process was killed."""
         self._pending.clear()
 
     def add_pending(self, key: int) -> PendingCall:
-        """Append a call that awaits its reply."""
+        """Add a pending call for a key, and return it."""
         call = PendingCall(key, self._environment.scheduler.now, self._host.incarnation)
         self._pending.setdefault(key, deque()).append(call)
         return call
 
     def send(self, action: IncrementCounter) -> None:
-        """Send a call; its reply comes in time or as a time-out."""
-        environment, host = self._environment, self._host
-        counter, scheduler = environment.counter, environment.scheduler
+        """Send a call; it completes with the counter's reply or with a time-out."""
+        environment = self._environment
+        host = self._host
+        counter = environment.counter
+        scheduler = environment.scheduler
         location, partition = counter.partition_of(host.location.region, action.key)
         size = len(incrttl(action.key, action.amount, action.ttl_ms))
         environment.metrics.count_message(Role.COUNTER, Message.CALLS, size)
@@ -69,21 +78,22 @@
             )
 
     def complete(self, call: PendingCall, outcome: CallOutcome, total: float) -> None:
-        """Take the reply or the time-out of a call; the first counts."""
+        """Record the reply or the time-out of a call, whichever comes first, and deliver what is ready."""
         if call.outcome is None and call.incarnation == self._host.incarnation and self._host.alive:
-            call.outcome, call.total = outcome, total
+            call.outcome = outcome
+            call.total = total
             self._deliver(call.key)
 
     def _return_reply(
         self, call: PendingCall, location: Location, outcome: CallOutcome, total: float
     ) -> None:
-        """Send the counter's reply on its way back."""
+        """Send the counter's reply to the gateway; it may be lost on the way."""
         delay = self._environment.network.sample_delay(location, self._host.location)
         if delay is not None:
             self._environment.scheduler.schedule_after(delay, self.complete, call, outcome, total)
 
     def _deliver(self, key: int) -> None:
-        """Hand over the replies for a key, up to the first call that has none."""
+        """Deliver the replies for a key to the policy, up to the first call that has none yet."""
         calls = self._pending.get(key)
         while calls and (outcome := calls[0].outcome) is not None:
             call = calls.popleft()
