--- a/quota_gateway/lab/simulation/endpoint_notices.py
+++ b/quota_gateway/lab/simulation/endpoint_notices.py
@@ -1,4 +1,4 @@
-"""What one gateway has been notified of, for the rules on drains and on servers that are warming up."""
+"""Notices of drains and server starts that a gateway has received, to check the rules that depend on them."""
 
 from __future__ import annotations
 
@@ -10,16 +10,18 @@
 
 
 class EndpointNotices:
-    """Keeps when a gateway was notified of drains, and the starts of servers that it knows of."""
+    """The notices that one gateway has received since its process was started."""
 
     def __init__(self, environment: Environment, location: Location) -> None:
         self._environment = environment
         self._location = location
-        self._leaving_since: dict[str, float] = {}  # when it learned that a server drains or is gone
+        # Time at which the gateway learned that a server drains or is gone, by server.
+        self._leaving_since: dict[str, float] = {}
+        # Start time of the process, ms, for each server that was started during the run.
         self._known_starts: dict[str, float] = {}
 
     def record(self, update: EndpointUpdate) -> None:
-        """Take an update that the gateway has received."""
+        """Record the notices in an update that the gateway has received."""
         for endpoint in update.endpoints:
             if endpoint.state is EndpointState.ACTIVE:
                 self._leaving_since.pop(endpoint.server_id, None)
@@ -29,21 +31,22 @@
                 self._leaving_since.setdefault(endpoint.server_id, self._environment.scheduler.now)
 
     def clear(self) -> None:
-        """Forget everything: the gateway's process is new."""
+        """Forget all notices, before a new process of the gateway is started."""
         self._leaving_since.clear()
         self._known_starts.clear()
 
     def knows_start(self, server: Server) -> bool:
-        """Return whether the gateway knows of the server's last start."""
+        """Return whether the gateway has been notified of the server's last start."""
         return self._known_starts.get(server.name, 0.0) == server.started_ms
 
     def check_drain(self, server: Server) -> None:
-        """Count a breach if a new attempt goes to a server that drains, past its grace period.
+        """Count a rule violation if a new attempt goes to a draining server after its grace period.
 
-        That is WIRE rule 3; the period begins when the gateway is notified, or counts as notified.
+        The grace period begins when the gateway is notified of the drain, or counts as notified.
         """
         environment = self._environment
-        now, grace_ms = environment.scheduler.now, environment.experiment.servers.drain_grace_ms
+        now = environment.scheduler.now
+        grace_ms = environment.experiment.servers.drain_grace_ms
         notified_at = self._leaving_since.get(server.name)
         if notified_at is not None and now > notified_at + grace_ms:
             environment.metrics.violations[RuleViolation.LATE_AFTER_DRAIN_NOTICE] += 1
--- a/quota_gateway/lab/simulation/server_fleet.py
+++ b/quota_gateway/lab/simulation/server_fleet.py
@@ -1,4 +1,4 @@
-"""All servers, those that are added during a run too."""
+"""All servers of a run, including those that are added while it runs."""
 
 from __future__ import annotations
 
@@ -15,10 +15,11 @@
 
 
 class ServerFleet:
-    """Servers by name, in the order of their making; their changes are made known to discovery.
+    """Creates, starts and stops servers, and reports their changes to discovery.
 
     Attributes:
-        service_time_ms: mean work of a request on one warm core, drawn once for all servers.
+        by_name: servers by name, in the order of their creation.
+        service_time_ms: mean work of a request on one core of a warm server, ms; the same for all servers.
     """
 
     def __init__(
@@ -37,39 +38,40 @@
         self._discovery = discovery
 
     def build(self, locate: Callable[[int, int], Location]) -> None:
-        """Make the servers that are there at the start, all warm.
+        """Create the servers that exist at the start, all of them warm.
 
         Args:
-            locate: gives the location of a pool's member by number.
+            locate: returns a server's location, given its pool and its index in the pool.
         """
-        pools = self._experiment.pool_count
+        pool_count = self._experiment.pool_count
         for index in range(self._experiment.fleet.servers):
-            pool, number = index % pools, index // pools
+            pool = index % pool_count
+            number = index // pool_count
             server = self._create(locate(pool, number), pool)
             self._discovery.histories[pool].add_initial(server.endpoint())
 
     def up(self) -> list[Server]:
-        """Return the servers that work."""
+        """Return the servers in state UP, in the order of their creation."""
         return [server for server in self.by_name.values() if server.state is ServerState.UP]
 
     def start_successor(self, server: Server) -> None:
-        """Start a new server, which has to warm up, in the place of another."""
+        """Start a new server, which has to warm up, at the location and in the pool of another one."""
         successor = self._create(server.location, server.pool)
         successor.start()
         self._discovery.change(successor.pool, successor.endpoint())
 
     def restart(self, server: Server) -> None:
-        """Start a lost server again; it has to warm up."""
+        """Restart a server that was stopped; it has to warm up."""
         server.start()
         self._discovery.change(server.pool, server.endpoint())
 
     def drain(self, server: Server) -> None:
-        """Let a server complete what it has."""
+        """Start to drain a server: it completes its requests and rejects new ones."""
         server.state = ServerState.DRAINING
         self._discovery.change(server.pool, server.endpoint(EndpointState.DRAINING))
 
     def stop(self, server: Server, state: ServerState) -> None:
-        """End a server's process."""
+        """Stop a server; the state is DOWN or VANISHED."""
         server.stop(state)
         self._discovery.change(server.pool, server.endpoint(EndpointState.GONE))
 
