--- a/quota_gateway/lab/simulation/network.py
+++ b/quota_gateway/lab/simulation/network.py
@@ -1,4 +1,4 @@
-"""The network between zones and regions: delay, loss and partitions."""
+"""Model of the network between zones and regions: delay, loss and partitions."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Location:
-    """Where a machine stands."""
+    """The zone and the region of a machine."""
 
     zone: str
     region: int
 
 
 class Network:
-    """How long a message takes between two locations, and whether it arrives.
+    """Determines whether a message between two locations arrives, and after which delay.
 
-    A lost packet is retransmitted by TCP and so comes late, it does not vanish; what is sent into a partition
-    does (PROTOCOL, "The network": a cut machine says nothing).
+    TCP retransmits lost packets, so that their message arrives late. Messages across a partition never
+    arrive, and the sender gets no error.
 
     Attributes:
-        isolated_zones: zones cut off from all others.
-        regions_partitioned: whether the regions have lost each other.
-        healed_at: when the last isolation of a zone ended, ms.
+        isolated_zones: zones that cannot exchange messages with any other zone.
+        regions_partitioned: whether messages between regions are dropped.
+        healed_at: time at which the last isolation of a zone ended, ms, by zone.
     """
 
     def __init__(self, config: NetworkConfig, seed: int) -> None:
@@ -36,28 +36,29 @@
         self._rng = random_stream(seed, "network")
 
     def heal_zone(self, zone: str, now: float) -> None:
-        """End the isolation of a zone."""
+        """End the isolation of a zone at the given time, ms."""
         self.isolated_zones.discard(zone)
         self.healed_at[zone] = now
 
-    def connected(self, one: Location, other: Location) -> bool:
-        """Return whether messages get through between two locations."""
-        if one.zone != other.zone and (one.zone in self.isolated_zones or other.zone in self.isolated_zones):
+    def connected(self, source: Location, destination: Location) -> bool:
+        """Return whether messages between two locations arrive."""
+        same_zone = source.zone == destination.zone
+        if not same_zone and (source.zone in self.isolated_zones or destination.zone in self.isolated_zones):
             return False
-        return not (self.regions_partitioned and one.region != other.region)
+        return not (self.regions_partitioned and source.region != destination.region)
 
-    def base_delay(self, one: Location, other: Location) -> float:
-        """Return the delay one way without jitter and loss, ms."""
-        if one.region != other.region:
+    def base_delay(self, source: Location, destination: Location) -> float:
+        """Return the one-way delay without jitter and loss, ms."""
+        if source.region != destination.region:
             return self.config.cross_region_ms
-        return self.config.same_zone_ms if one.zone == other.zone else self.config.cross_zone_ms
+        return self.config.same_zone_ms if source.zone == destination.zone else self.config.cross_zone_ms
 
-    def sample_delay(self, one: Location, other: Location) -> float | None:
-        """Draw the delay of one message one way, ms; None where it does not get through."""
-        if not self.connected(one, other):
+    def sample_delay(self, source: Location, destination: Location) -> float | None:
+        """Draw the one-way delay of a message, ms; None if the message does not arrive."""
+        if not self.connected(source, destination):
             return None
         config = self.config
-        delay = self.base_delay(one, other) * (1.0 + config.jitter_share * self._rng.random())
+        delay = self.base_delay(source, destination) * (1.0 + config.jitter_share * self._rng.random())
         if config.loss_share and self._rng.random() < config.loss_share:
             return delay + config.retransmit_ms
         return delay
