--- a/quota_gateway/lab/simulation/quota_accounting.py
+++ b/quota_gateway/lab/simulation/quota_accounting.py
@@ -1,4 +1,4 @@
-"""Compares what clients sent and gateways admitted with the customers' true quotas."""
+"""Compares clients' attempts, forwarded and rejected, with the customers' true quotas."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from quota_gateway.lab.simulation.records import ClientAttempt, Tenant
 from quota_gateway.lab.simulation.scheduler import EventScheduler
 
-UNUSED_BURST_SHARE = 0.5  # a rejection is unnecessary where at least this share of the burst was unused
+UNUSED_BURST_SHARE = 0.5  # A rejection is unnecessary if at least this share of the burst is unused.
 
 
 class QuotaAccounting:
-    """Keeps the true level of each tenant's quota, and counts what was sent within it and beyond."""
+    """Updates the true quota of each tenant, and counts attempts within and over it."""
 
     def __init__(self, scheduler: EventScheduler, metrics: Metrics) -> None:
         self._scheduler = scheduler
         self._metrics = metrics
 
     def record_first_attempt(self, tenant: Tenant, units: float) -> None:
-        """Count a first attempt, and its revenue if one gateway that saw all of them would admit it."""
+        """Count a first attempt, and its revenue if a gateway that saw all first attempts would admit it."""
         metrics = self._metrics
         metrics.service[ServiceCount.FIRST_ATTEMPTS] += 1
         tenant.refill(self._scheduler.now)
@@ -27,8 +27,13 @@
             metrics.revenue[ServiceCount.OFFERED_REVENUE] += units * tenant.plan.price
 
     def record_forwarded(self, attempt: ClientAttempt) -> None:
-        """Count an attempt when it is first forwarded: within its quota, which it uses, or beyond."""
-        tenant, units, counts = attempt.request.tenant, attempt.request.units, self._metrics.quota
+        """Count an attempt that is forwarded for the first time, as within or over its customer's quota.
+
+        Its units are taken from the quota only if they fit into it, and from the hard limit in any case.
+        """
+        tenant = attempt.request.tenant
+        units = attempt.request.units
+        counts = self._metrics.quota
         tenant.refill(self._scheduler.now)
         within = not tenant.plan.rate or tenant.quota_level >= units
         attempt.within_quota = within
@@ -42,7 +47,7 @@
                 self._metrics.violations[RuleViolation.HARD_LIMIT_EXCEEDED] += 1
 
     def record_rejected(self, attempt: ClientAttempt) -> None:
-        """Count a rejection: unnecessary where half of the burst was unused and would have held it."""
+        """Count a rejection; it is unnecessary if half of the burst or more is unused and holds the units."""
         tenant = attempt.request.tenant
         tenant.refill(self._scheduler.now)
         self._metrics.quota[QuotaCount.REJECTED] += 1
--- a/quota_gateway/lab/simulation/run_report.py
+++ b/quota_gateway/lab/simulation/run_report.py
@@ -1,4 +1,4 @@
-"""The figures of a run, as result files hold them."""
+"""The figures of a run, in the form of result files."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def simulated_figures(simulation: Simulation) -> dict[str, Any]:
-    """Return all that is the same on every machine for the same seed."""
+    """Return the figures that depend only on the experiment and the seed."""
     environment = simulation.environment
     return simulation.metrics.report() | {
         "rates": _rates(simulation),
@@ -28,13 +28,17 @@
 
 
 def measured_figures(simulation: Simulation) -> dict[str, Any]:
-    """Return what depends on the machine: processor time and memory."""
-    cost, processor_time = simulation.cost, simulation.processor_time
-    memory, gateways = cost.memory_bytes, len(simulation.gateways)
+    """Return the figures that depend on the machine: elapsed time, processor time and memory."""
+    cost = simulation.cost
+    processor_time = simulation.processor_time
+    memory = cost.memory_bytes
+    gateways = len(simulation.gateways)
     first_attempts = max(1, simulation.metrics.service[ServiceCount.FIRST_ATTEMPTS])
     requests = max(1, processor_time.events["Request"])
-    policy_ns, duration_s = processor_time.total_ns(), simulation.experiment.duration_s
-    built, before_gateways = memory["gateways"], memory["servers_and_tenants"]
+    policy_ns = processor_time.total_ns()
+    duration_s = simulation.experiment.duration_s
+    with_gateways = memory["gateways"]
+    before_gateways = memory["servers_and_tenants"]
     return processor_time.report() | {
         "wall_s": round(cost.wall_s, 2),
         "wall_ms_per_first_try": round(1000.0 * cost.wall_s / first_attempts, 4),
@@ -43,15 +47,18 @@
         "module_ms_per_request": round(policy_ns / 1e6 / requests, 4),
         "module_core_share_per_gateway": round(policy_ns / 1e9 / duration_s / gateways, 5),
         "memory_mb": {stage: round(size / 1e6, 1) for stage, size in memory.items()},
-        "kb_per_gateway_at_start": round((built - before_gateways) / gateways / 1e3, 1),
+        "kb_per_gateway_at_start": round((with_gateways - before_gateways) / gateways / 1e3, 1),
         "kb_per_gateway_at_end": round((memory["end"] - before_gateways) / gateways / 1e3, 1),
         "peak_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1e3, 1),
     }
 
 
 def _rates(simulation: Simulation) -> dict[str, float]:
-    experiment, metrics = simulation.experiment, simulation.metrics
-    service, revenue, quota = metrics.service, metrics.revenue, metrics.quota
+    experiment = simulation.experiment
+    metrics = simulation.metrics
+    service = metrics.service
+    revenue = metrics.revenue
+    quota = metrics.quota
     duration_ms = experiment.duration_s * 1000.0
     attempts = max(1, service[ServiceCount.ATTEMPTS])
     first_attempts = service[ServiceCount.FIRST_ATTEMPTS]
@@ -59,10 +66,11 @@
     units = max(1, quota[QuotaCount.UNITS_WITHIN_QUOTA] + units_over_quota)
     served_share = revenue[ServiceCount.SERVED_REVENUE] / max(1e-9, revenue[ServiceCount.OFFERED_REVENUE])
     counter_calls = metrics.messages.get(Role.COUNTER, Counter())[Message.CALLS]
-    busy_ms = sum(server.busy_ms for server in simulation.servers.by_name.values())
+    server_busy_ms = sum(server.busy_ms for server in simulation.servers.by_name.values())
     per_s_and_gateway = 1.0 / (experiment.duration_s + TAIL_MS / 1000.0) / experiment.fleet.gateways
-    counter_bytes, discovery_bytes = metrics.total_bytes(Role.COUNTER), metrics.total_bytes(Role.DISCOVERY)
-    servers_busy = busy_ms / duration_ms / experiment.fleet.servers / experiment.servers.cores
+    counter_bytes = metrics.total_bytes(Role.COUNTER)
+    discovery_bytes = metrics.total_bytes(Role.DISCOVERY)
+    server_utilization = server_busy_ms / duration_ms / experiment.fleet.servers / experiment.servers.cores
     return {
         "first_tries_per_s": round(first_attempts / experiment.duration_s, 2),
         "service": round(served_share, 4),
@@ -74,6 +82,6 @@
         "counter_bytes_per_s_and_gateway": round(counter_bytes * per_s_and_gateway, 2),
         "discovery_bytes_per_s_and_gateway": round(discovery_bytes * per_s_and_gateway, 2),
         "nearest_to_cold_fall": round(metrics.peak_cold_load, 4),
-        "servers_busy": round(servers_busy, 4),
+        "servers_busy": round(server_utilization, 4),
         "discovery_busy": round(simulation.discovery.busy_ms / (duration_ms + TAIL_MS), 4),
     }
--- a/quota_gateway/lab/simulation/run_tables.py
+++ b/quota_gateway/lab/simulation/run_tables.py
@@ -1,4 +1,4 @@
-"""Tables of the results of runs."""
+"""Prints the results of runs as tables."""
 
 from __future__ import annotations
 
@@ -14,21 +14,23 @@
 
 
 def show_run(console: Console, result: dict[str, Any]) -> None:
-    """Print the result of one run."""
-    simulated, experiment = result["simulated"], result["experiment"]
+    """Print the result file content of a run with one seed."""
+    simulated = result["simulated"]
+    experiment = result["experiment"]
     run = f"{experiment['name']}: seed {result['seed']}, {experiment['seconds']:g} s simulated"
     console.print(f"{run}; {machine_line(result['machine'])}", soft_wrap=True)
     shown = flatten({section: simulated[section] for section in SHOWN_SECTIONS})
     console.print(table("Simulated (the same on every machine)", ["figure", "value"], shown))
     messages = _message_rows(simulated["calls"], simulated["bytes"])
     console.print(table("Messages", ["role", "number", "bytes"], messages))
-    console.print(table("Measured (of this machine)", ["figure", "value"], flatten(result["measured"])))
+    console.print(table("Measured (on this machine)", ["figure", "value"], flatten(result["measured"])))
 
 
 def show_spread(console: Console, result: dict[str, Any]) -> None:
-    """Print the result of runs with several seeds."""
+    """Print the result file content of runs with several seeds."""
     seeds = ", ".join(str(run["seed"]) for run in result["runs"])
-    name, machine = result["experiment"]["name"], machine_line(result["machine"])
+    name = result["experiment"]["name"]
+    machine = machine_line(result["machine"])
     console.print(f"{name}: seeds {seeds}; {machine}", soft_wrap=True)
     rows = [
         (rate, *(f"{spread[column]:,}" for column in SPREAD_COLUMNS))
@@ -40,9 +42,11 @@
 def _message_rows(
     counts: dict[str, dict[str, int]], sizes: dict[str, dict[str, int]]
 ) -> list[tuple[str, str, str]]:
+    """Return the rows of the table of messages: kind, number and size in bytes."""
     rows = []
     for role in sorted({*counts, *sizes}):
-        role_counts, role_sizes = counts.get(role, {}), sizes.get(role, {})
+        role_counts = counts.get(role, {})
+        role_sizes = sizes.get(role, {})
         for kind in sorted({*role_counts, *role_sizes}):
             size = f"{role_sizes[kind]:,}" if kind in role_sizes else ""
             rows.append((f"{role}.{kind}", f"{role_counts.get(kind, 0):,}", size))
