--- a/quota_gateway/lab/simulation/environment.py
+++ b/quota_gateway/lab/simulation/environment.py
@@ -1,4 +1,4 @@
-"""What surrounds the gateways of a simulation: all other parties, the clock and the metrics."""
+"""The environment of the simulated gateways: all other components, the scheduler and the metrics."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """The parties that gateways and faults act on."""
+    """The components that gateways and faults act on."""
 
     experiment: Experiment
     seed: int
--- a/quota_gateway/lab/simulation/metrics.py
+++ b/quota_gateway/lab/simulation/metrics.py
@@ -14,9 +14,8 @@
 from hdrh.histogram import HdrHistogram
 
 MAX_RECORDED_US = 60_000_000
-MAX_UNFLUSHED_VALUES = (
-    50_000  # Distinct values that a histogram buffers before it writes them to HdrHistogram.
-)
+# Number of distinct values that a histogram buffers before it writes them to HdrHistogram.
+MAX_UNFLUSHED_VALUES = 50_000
 SIGNIFICANT_FIGURES = 2
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
--- a/quota_gateway/lab/simulation/random_streams.py
+++ b/quota_gateway/lab/simulation/random_streams.py
@@ -1,4 +1,7 @@
-"""Random generators, one for each entity: what one entity draws does not move the draws of another."""
+"""Independent random generators for the entities of a run.
+
+The number of draws of one entity does not affect the values that another one draws.
+"""
 
 from __future__ import annotations
 
@@ -9,10 +12,10 @@
 
 
 def random_stream(seed: int, role: str, index: int = 0) -> random.Random:
-    """Return the generator of one entity."""
+    """Return the generator of one entity, identified by role and index."""
     return random.Random(f"{seed}/{role}/{index}")
 
 
 def numpy_stream(seed: int, role: str, index: int = 0) -> np.random.Generator:
-    """Return the generator of one entity that draws whole arrays."""
+    """Return the numpy generator of one entity, identified by role and index, for draws of whole arrays."""
     return np.random.default_rng(np.random.SeedSequence([seed, zlib.crc32(role.encode()), index]))
--- a/quota_gateway/lab/simulation/scheduler.py
+++ b/quota_gateway/lab/simulation/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of discrete events. No wall clock is read here."""
+"""Scheduler of discrete events in simulated time; it does not read the machine's clock."""
 
 from __future__ import annotations
 
@@ -6,11 +6,12 @@
 from collections.abc import Callable
 from typing import Any
 
-START_MS = 1_000_000.0  # simulated time begins here: 0 means "long ago" in an endpoint's `started_ms`
+# Start of simulated time. It is not 0, because 0 in an endpoint's `started_ms` means "long ago".
+START_MS = 1_000_000.0
 
 
 class EventScheduler:
-    """Runs callbacks in order of simulated time, those of one moment in the order of their scheduling.
+    """Runs callbacks in order of simulated time; callbacks at the same time run in the order of scheduling.
 
     Attributes:
         now: simulated time, ms.
@@ -24,16 +25,16 @@
         self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
 
     def schedule_at(self, when: float, callback: Callable[..., None], *args: Any) -> None:
-        """Schedule a call at a moment, ms; a moment in the past counts as now."""
+        """Schedule a callback at a simulated time, ms; a time in the past counts as now."""
         self._sequence += 1
         heapq.heappush(self._heap, (max(when, self.now), self._sequence, callback, args))
 
     def schedule_after(self, delay: float, callback: Callable[..., None], *args: Any) -> None:
-        """Schedule a call after a delay, ms."""
+        """Schedule a callback after a delay, ms."""
         self.schedule_at(self.now + delay, callback, *args)
 
     def run_until(self, until: float) -> None:
-        """Run all that is due up to a moment, ms, and set the clock to it."""
+        """Run all callbacks that are due up to a simulated time, ms, and advance the clock to it."""
         heap = self._heap
         while heap and heap[0][0] <= until:
             self.now, _, callback, args = heapq.heappop(heap)
