--- a/tests/lab/simulation/fleets.py
+++ b/tests/lab/simulation/fleets.py
@@ -1,4 +1,4 @@
-"""Small fleets and locations that the tests of the simulation share."""
+"""Small simulated fleets, locations and faults that several tests use."""
 
 from __future__ import annotations
 
@@ -20,34 +20,35 @@
 WITHOUT_JITTER = NetworkConfig(jitter_share=0.0)
 
 
-def run_small_fleet(duration_s: float = 6.0, **parts: Any) -> Simulation:
-    """Run a small fleet without faults."""
-    load = parts.pop("load", LoadConfig(requests_per_s=60.0, tenants=30, gateways_per_tenant=(1, 2)))
+def run_small_fleet(duration_s: float = 6.0, **tables: Any) -> Simulation:
+    """Run a small fleet without faults; `tables` replace the default tables of the experiment."""
+    load = tables.pop("load", LoadConfig(requests_per_s=60.0, tenants=30, gateways_per_tenant=(1, 2)))
     experiment = Experiment(
-        name="t", duration_s=duration_s, fleet=FleetConfig(gateways=2, servers=6), load=load, **parts
+        name="t", duration_s=duration_s, fleet=FleetConfig(gateways=2, servers=6), load=load, **tables
     )
     simulation = Simulation(experiment, seed=3)
     simulation.run()
     return simulation
 
 
-def run_with_faults(*faults: FaultConfig, seed: int = 1, duration_s: float = 6.0, **parts: Any) -> Simulation:
-    """Run a small fleet of three zones with faults."""
-    sizes = FleetConfig(gateways=6, servers=9, zones=3)
+def run_with_faults(
+    *faults: FaultConfig, seed: int = 1, duration_s: float = 6.0, **tables: Any
+) -> Simulation:
+    """Run a small fleet of three zones with faults; `tables` replace the default tables of the experiment."""
     experiment = Experiment(
         name="t",
         duration_s=duration_s,
-        fleet=sizes,
+        fleet=FleetConfig(gateways=6, servers=9, zones=3),
         faults=faults,
         load=LoadConfig(requests_per_s=90.0, tenants=40, gateways_per_tenant=(2, 4)),
-        **parts,
+        **tables,
     )
     simulation = Simulation(experiment, seed)
     simulation.run()
     return simulation
 
 
-ROUGH_FAULTS = (
+MIXED_FAULTS = (
     FaultConfig(kind="servers_replaced", at_s=1.0, duration_s=1.0, share=0.4),
     FaultConfig(kind="gateways_restarted", at_s=2.0, duration_s=0.5, share=0.5),
     FaultConfig(kind="zone_isolated", at_s=3.0, duration_s=1.0, zone="z1"),
--- a/tests/lab/simulation/test_clients.py
+++ b/tests/lab/simulation/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients' attempts, retries and spikes, and what a whole fleet answers them."""
+"""Clients' attempts, retries and spikes, and the answers of a whole simulated fleet."""
 
 from __future__ import annotations
 
@@ -35,19 +35,20 @@
     spiky = run_small_fleet(20.0, load=load)
     spiking = [tenant for pool in spiky.pools for tenant in pool.tenants if tenant.spike_demand_per_s]
     assert len(spiking) == pytest.approx(3, abs=1)
-    before = {
+    initial_demand = {
         tenant.key: tenant.demand_per_s
         for tenant in build_tenants(spiky.experiment, build_plans(spiky.experiment), 3)
     }
     for tenant in spiking:
-        assert tenant.demand_per_s == pytest.approx(before[tenant.key])
+        assert tenant.demand_per_s == pytest.approx(initial_demand[tenant.key])
     assert spiky.metrics.service["refused"] > 2 * calm.metrics.service["refused"]
-    # Three seconds in 4.5 on average, once the first spikes have begun: after 2.5 s on average, of 20.
-    extra = (
+    # A spike lasts 3 s of an interval of 4.5 s on average. The first one begins after 2.5 s on average, which
+    # leaves 17.5 s of the 20 s run.
+    spike_demand = (
         sum(tenant.spike_demand_per_s - tenant.demand_per_s for tenant in spiking) * 3.0 / 4.5 * 17.5 / 20.0
     )
     rate = simulated_figures(spiky)["rates"]["first_tries_per_s"]
-    assert rate == pytest.approx(sum(before.values()) + extra, rel=0.15)
+    assert rate == pytest.approx(sum(initial_demand.values()) + spike_demand, rel=0.15)
 
 
 def test_every_attempt_has_one_outcome_and_disconnected_clients_cost_no_server_attempt() -> None:
@@ -63,14 +64,14 @@
 
 def test_retries_are_bounded_and_honour_retry_after() -> None:
     overload = LoadConfig(requests_per_s=60.0, tenants=8, quota_utilization=4.0, gateways_per_tenant=(1, 2))
-    counts = [
+    without_retries, with_retries = (
         run_small_fleet(
-            load=overload, clients=ClientConfig(max_retries=n, retry_after_share=1.0)
+            load=overload, clients=ClientConfig(max_retries=max_retries, retry_after_share=1.0)
         ).metrics.service
-        for n in (0, 3)
-    ]
-    assert counts[0]["tries"] == counts[0]["first_tries"] == counts[1]["first_tries"]
-    assert counts[0]["first_tries"] < counts[1]["tries"] <= 4 * counts[1]["first_tries"]
+        for max_retries in (0, 3)
+    )
+    assert without_retries["tries"] == without_retries["first_tries"] == with_retries["first_tries"]
+    assert without_retries["first_tries"] < with_retries["tries"] <= 4 * with_retries["first_tries"]
 
 
 def test_the_fleet_admits_no_more_than_the_quotas_and_their_margin() -> None:
--- a/tests/lab/simulation/test_fault_injection.py
+++ b/tests/lab/simulation/test_fault_injection.py
@@ -1,4 +1,4 @@
-"""Each kind of fault does what its name says, and the rules hold through it."""
+"""Faults have their intended effects, and gateways violate no rule during them."""
 
 from __future__ import annotations
 
@@ -14,20 +14,21 @@
 )
 from quota_gateway.lab.simulation.run_report import simulated_figures
 from quota_gateway.lab.simulation.simulation import Simulation
-from tests.lab.simulation.fleets import ROUGH_FAULTS, run_with_faults
+from tests.lab.simulation.fleets import MIXED_FAULTS, run_with_faults
 
 
-def test_faults_have_their_effect_and_no_rule_is_broken() -> None:
-    quiet, rough = run_with_faults(duration_s=8.0), run_with_faults(*ROUGH_FAULTS, duration_s=8.0)
-    assert quiet.metrics.service["unreached"] == 0
-    assert rough.metrics.service["unreached"] > 0
-    assert rough.metrics.recovery_us.report()["count"] == 3
-    assert len(rough.servers.by_name) == 9 + 4
-    assert simulated_figures(rough)["world"]["servers_up"] == 9
-    assert rough.metrics.messages["server"]["unreachable"] > 0
-    assert rough.metrics.messages["counter"]["answered_timeout"] > 0
-    broken = simulated_figures(rough)["rules"]
-    assert {rule: n for rule, n in broken.items() if n and rule != "cut_by_drain"} == {}
+def test_faults_have_their_effect_and_no_rule_is_violated() -> None:
+    without_faults = run_with_faults(duration_s=8.0)
+    with_faults = run_with_faults(*MIXED_FAULTS, duration_s=8.0)
+    assert without_faults.metrics.service["unreached"] == 0
+    assert with_faults.metrics.service["unreached"] > 0
+    assert with_faults.metrics.recovery_us.report()["count"] == 3
+    assert len(with_faults.servers.by_name) == 9 + 4
+    assert simulated_figures(with_faults)["world"]["servers_up"] == 9
+    assert with_faults.metrics.messages["server"]["unreachable"] > 0
+    assert with_faults.metrics.messages["counter"]["answered_timeout"] > 0
+    violations = simulated_figures(with_faults)["rules"]
+    assert {rule: count for rule, count in violations.items() if count and rule != "cut_by_drain"} == {}
 
 
 @pytest.mark.parametrize("kind", ["rack_lost", "servers_hung", "servers_crashed"])
@@ -52,9 +53,12 @@
 
 
 def test_timers_of_a_killed_process_do_not_reach_the_next_one() -> None:
-    quick = FaultConfig(kind="gateways_restarted", at_s=1.0, count=6, downtime_ms=(1.0, 1.0))
-    ticks = [run_with_faults(*faults).processor_time.events["TimerFired"] for faults in ((), (quick,))]
-    assert ticks[1] == pytest.approx(ticks[0], rel=0.05)
+    """Timers of the killed process that fired in the next one would double the gateways' ticks."""
+    restarts = FaultConfig(kind="gateways_restarted", at_s=1.0, count=6, downtime_ms=(1.0, 1.0))
+    ticks_without_restarts, ticks_with_restarts = (
+        run_with_faults(*faults).processor_time.events["TimerFired"] for faults in ((), (restarts,))
+    )
+    assert ticks_with_restarts == pytest.approx(ticks_without_restarts, rel=0.05)
 
 
 def test_partitioned_regions_catch_up_on_changes_after_the_partition() -> None:
@@ -76,20 +80,23 @@
         assert versions == [histories[gateway.pool_number].version for gateway in simulation.gateways]
         return simulation.metrics.messages["discovery"]["change_lists"]
 
-    replaced = FaultConfig(kind="servers_replaced", at_s=1.0, duration_s=1.0, share=1.0)
+    replacements = FaultConfig(kind="servers_replaced", at_s=1.0, duration_s=1.0, share=1.0)
     partition = FaultConfig(kind="regions_partitioned", at_s=0.5, duration_s=6.0)
-    assert deltas_sent(replaced) > deltas_sent(partition, replaced) > 0
+    assert deltas_sent(replacements) > deltas_sent(partition, replacements) > 0
 
 
 def test_a_surge_raises_demand_while_it_lasts() -> None:
-    quiet = run_with_faults()
-    surge = run_with_faults(FaultConfig(kind="demand_surge", at_s=1.0, duration_s=4.0, share=1.0, factor=3.0))
-    ratio = surge.metrics.service["first_tries"] / quiet.metrics.service["first_tries"]
-    assert 1.9 < ratio < 2.8  # three times for four seconds of six, from the next batch on
+    without_surge = run_with_faults()
+    with_surge = run_with_faults(
+        FaultConfig(kind="demand_surge", at_s=1.0, duration_s=4.0, share=1.0, factor=3.0)
+    )
+    ratio = with_surge.metrics.service["first_tries"] / without_surge.metrics.service["first_tries"]
+    # The demand is three times as high for 4 s of 6 s. It changes with the next batch of arrivals.
+    assert 1.9 < ratio < 2.8
 
 
 def test_sudden_load_on_warming_servers_is_counted_as_failures() -> None:
-    # All servers restart at once with hardly a budget: nobody can hold the load.
+    # All servers restart at once with an overload budget that is too small for the load.
     simulation = run_with_faults(
         FaultConfig(kind="servers_crashed", at_s=1.0, duration_s=0.1, share=1.0),
         servers=ServerConfig(
--- a/tests/lab/simulation/test_simulation.py
+++ b/tests/lab/simulation/test_simulation.py
@@ -1,4 +1,4 @@
-"""Whole runs: the same by seed, pools apart, and what a run costs in events."""
+"""Whole runs: reproducibility by seed, separation of pools, and the number of scheduler events."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from quota_gateway.lab.simulation.experiment import Experiment, FleetConfig, LoadConfig
 from quota_gateway.lab.simulation.run_report import simulated_figures
 from quota_gateway.lab.simulation.simulation import Simulation
-from tests.lab.simulation.fleets import ROUGH_FAULTS, run_with_faults
+from tests.lab.simulation.fleets import MIXED_FAULTS, run_with_faults
 
 
 def test_a_run_is_determined_by_its_seed() -> None:
     first, again, other = (
-        msgspec.json.encode(simulated_figures(run_with_faults(*ROUGH_FAULTS, seed=seed)))
+        msgspec.json.encode(simulated_figures(run_with_faults(*MIXED_FAULTS, seed=seed)))
         for seed in (1, 1, 2)
     )
     assert first == again
     assert first != other
 
 
-def test_gateways_know_their_pool_only() -> None:
+def test_gateways_know_only_the_servers_of_their_pool() -> None:
     experiment = Experiment(
         name="t",
         duration_s=1.0,
@@ -38,7 +38,7 @@
 
 
 def test_events_grow_with_requests_and_gateways_not_with_servers() -> None:
-    """Counts of operations: what one request, and one idle gateway, costs the scheduler."""
+    """Counts scheduler events per request and per idle gateway; a count does not depend on the machine."""
 
     def events(gateways: int, servers: int, rate: float) -> int:
         experiment = Experiment(
@@ -52,7 +52,7 @@
         return simulation.scheduler.executed
 
     idle = events(10, 100, 0.01)
-    assert idle / 10 == pytest.approx(9 * 4.5, rel=0.25)  # four ticks a second, and the watch
+    assert idle / 10 == pytest.approx(9 * 4.5, rel=0.25)  # Four ticks per second and the watch, for 9 s.
     assert events(20, 100, 0.01) / idle == pytest.approx(2.0, rel=0.1)
     assert events(10, 1000, 0.01) == pytest.approx(idle, rel=0.02)
     busy = events(10, 100, 100.0)
