--- a/tests/lab/simulation/test_discovery.py
+++ b/tests/lab/simulation/test_discovery.py
@@ -18,14 +18,15 @@
 
 
 class Watches:
-    """One service with three servers, and watches on it."""
+    """A discovery service with three servers, and gateways' watches on it with the updates they received."""
 
     def __init__(self, count: int = 1, **config: Any) -> None:
-        self.scheduler, self.metrics = EventScheduler(), Metrics()
-        figures = DiscoveryConfig(propagation_ms=(100.0, 100.0), **config)
+        self.scheduler = EventScheduler()
+        self.metrics = Metrics()
+        discovery_config = DiscoveryConfig(propagation_ms=(100.0, 100.0), **config)
         self.network = Network(WITHOUT_JITTER, 1)
         self.service = DiscoveryService(
-            self.scheduler, self.metrics, figures, self.network, ZONE_0, 1, seed=1
+            self.scheduler, self.metrics, discovery_config, self.network, ZONE_0, 1, seed=1
         )
         for i in range(3):
             self.service.histories[0].add_initial(Endpoint(f"s{i}", "z0"))
@@ -44,10 +45,11 @@
         self.service.change(0, Endpoint(server, "z0", state=state))
 
     def received(self, watch: int = 0) -> list[EndpointUpdate]:
+        """Return the updates with changes that a watch has received."""
         return [update for update in self.updates[watch] if update.endpoints]
 
 
-def test_a_watch_receives_changes_only_and_late() -> None:
+def test_a_watch_receives_only_changes_and_after_the_propagation_delay() -> None:
     watches = Watches()
     watches.run(1000.0)
     watches.change()
@@ -60,10 +62,10 @@
     assert watches.watches[0].version == 1
 
 
-def test_an_idle_watch_makes_one_call_for_each_wait() -> None:
+def test_an_idle_watch_makes_one_call_per_long_poll() -> None:
     watches = Watches()
     watches.run(1000.0 * (10 * LONG_POLL_S + 1.0))
-    assert watches.metrics.messages["discovery"]["calls"] == 12  # the first waits shorter
+    assert watches.metrics.messages["discovery"]["calls"] == 12  # The first long poll is shorter.
     assert "whole_lists" not in watches.metrics.messages["discovery"]
 
 
@@ -81,7 +83,7 @@
     assert len(update.endpoints) == (3 if kind is UpdateKind.DELTA else 1)
 
 
-def test_an_overloaded_service_rejects_calls_and_all_watches_are_notified_in_the_end() -> None:
+def test_an_overloaded_service_rejects_calls_and_still_notifies_all_watches() -> None:
     watches = Watches(count=30, call_cost_ms=20.0, max_queue_ms=200.0)
     watches.run(200.0)
     assert watches.metrics.messages["discovery"]["turned_away"] > 0
@@ -94,11 +96,11 @@
     watches = Watches()
     watches.run(1000.0)
     watches.network.isolated_zones.add("z1")
-    before = watches.metrics.messages["discovery"]["calls"]
+    calls_before = watches.metrics.messages["discovery"]["calls"]
     watches.change()
     watches.run(10_000.0)
     assert not watches.received()
-    assert watches.metrics.messages["discovery"]["calls"] == before
+    assert watches.metrics.messages["discovery"]["calls"] == calls_before
     assert watches.service.notification_deadline("s1", ZONE_1) == float("inf")
     watches.network.heal_zone("z1", watches.scheduler.now)
     assert watches.service.notification_deadline("s1", ZONE_1) == watches.scheduler.now + 6000.0
--- a/tests/lab/simulation/test_endpoint_history.py
+++ b/tests/lab/simulation/test_endpoint_history.py
@@ -1,4 +1,4 @@
-"""The endpoint list of a pool, by version."""
+"""The versions of a pool's endpoint list, and the updates between them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def history() -> EndpointHistory:
-    """Two servers, of which the first is replaced."""
+    """The history of a list with two servers, the first of which was replaced."""
     history = EndpointHistory()
     for name in ("s0", "s1"):
         history.add_initial(Endpoint(name, "z0"))
@@ -24,7 +24,7 @@
     return history
 
 
-def test_each_version_has_the_list_of_its_time(history: EndpointHistory) -> None:
+def test_each_version_has_the_endpoints_of_its_time(history: EndpointHistory) -> None:
     names = [[endpoint.server_id for endpoint in history.at_version(version)] for version in range(4)]
     assert names == [["s0", "s1"], ["s0", "s1"], ["s1"], ["s1", "s2"]]
     assert history.at_version(1)[0] == DRAINING
