--- a/tests/lab/simulation/test_experiment.py
+++ b/tests/lab/simulation/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: a bad file is one line with file, line and key, exit 2, and nothing written."""
+"""Experiment files: errors are one line with file, line and key; the exit status is 2; nothing is written."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize(
     "name", ["small", "today", "ahead", "ahead_faults", "zone_loss", "restarts", "ramp", *CALIBRATIONS]
 )
-def test_the_experiments_of_the_project_can_be_run(name: str) -> None:
+def test_the_experiment_files_of_the_project_are_valid(name: str) -> None:
     experiment = load_experiment(Path(__file__).resolve().parents[3] / "experiments" / f"{name}.toml")
     assert experiment.name == name
     servers = experiment.fleet.servers
@@ -96,10 +96,11 @@
         ),
     ],
 )
-def test_a_bad_experiment_is_one_line_and_nothing_is_written(
+def test_an_invalid_experiment_gives_one_line_of_error_and_no_output_file(
     tmp_path: Path, text: str, line: int, key: str
 ) -> None:
-    file, out = tmp_path / "bad.toml", tmp_path / "out.json"
+    file = tmp_path / "bad.toml"
+    out = tmp_path / "out.json"
     file.write_text(text)
     result = CliRunner().invoke(app, ["lab", "run", str(file), "--out", str(out)])
     assert result.exit_code == 2
@@ -134,7 +135,8 @@
 
 
 def test_former_and_present_keys_give_the_same_experiment(tmp_path: Path) -> None:
-    present, former = tmp_path / "present.toml", tmp_path / "former.toml"
+    present = tmp_path / "present.toml"
+    former = tmp_path / "former.toml"
     present.write_text(GOOD + "quota_utilization = 0.4\n")
     former.write_text(
         GOOD.replace("duration_s", "seconds").replace("gateways_per_tenant", "spread") + "use = 0.4\n"
@@ -142,7 +144,7 @@
     assert load_experiment(present) == load_experiment(former)
 
 
-def test_unreadable_input_and_unwritable_output_are_one_line_too(tmp_path: Path) -> None:
+def test_unreadable_input_and_unwritable_output_give_one_line_of_error(tmp_path: Path) -> None:
     good = tmp_path / "good.toml"
     good.write_text(GOOD)
     for arguments in (
--- a/tests/lab/simulation/test_quota_accounting.py
+++ b/tests/lab/simulation/test_quota_accounting.py
@@ -1,4 +1,4 @@
-"""The true quotas that a run is held against."""
+"""Attempts are counted against the customers' true quotas."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 def test_an_attempt_uses_its_quota_when_first_forwarded_and_only_within_it() -> None:
-    """BENCH, "This kind of system": within if the bucket holds its units, which it uses; else nothing."""
+    """An attempt is within the quota if the token bucket holds its units; only then it takes them from it."""
     simulation = run_small_fleet(0.1)
-    quotas, metrics = simulation.environment.quotas, simulation.metrics
+    quotas = simulation.environment.quotas
+    metrics = simulation.metrics
     metrics.quota.clear()
     plan = Plan("p", rate=1.0, burst=10.0, hard_limit_rate=2.0, hard_limit_burst=12.0, hard_limit_slack=1.0)
     now = simulation.scheduler.now
@@ -34,8 +35,8 @@
 
     quotas.record_rejected(attempt(1.0))
     quotas.record_forwarded(attempt(6.0))
-    quotas.record_rejected(attempt(4.0))  # less than half is left
-    quotas.record_forwarded(attempt(6.0))  # over quota: uses nothing of the quota, all of the hard limit
+    quotas.record_rejected(attempt(4.0))  # Less than half of the burst is unused.
+    quotas.record_forwarded(attempt(6.0))  # Over the quota: takes units only from the hard limit.
     assert (tenant.quota_level, tenant.hard_limit_level) == (4.0, 0.0)
     quotas.record_forwarded(attempt(1.0))
     assert metrics.violations["ceiling_overruns"] == 0
