--- a/tests/lab/simulation/test_network.py
+++ b/tests/lab/simulation/test_network.py
@@ -1,4 +1,4 @@
-"""The simulated network."""
+"""Delays, partitions and losses of the simulated network."""
 
 from __future__ import annotations
 
@@ -16,18 +16,11 @@
         WITHOUT_JITTER.cross_region_ms,
     ]
     network.isolated_zones.add("z1")
-    assert [
-        network.connected(ZONE_0, ZONE_0),
-        network.connected(ZONE_1, ZONE_1),
-        network.connected(ZONE_0, ZONE_1),
-    ] == [
-        True,
-        True,
-        False,
-    ]
+    pairs = ((ZONE_0, ZONE_0), (ZONE_1, ZONE_1), (ZONE_0, ZONE_1))
+    assert [network.connected(*pair) for pair in pairs] == [True, True, False]
     network.regions_partitioned = True
     assert network.sample_delay(ZONE_0, OTHER_REGION) is None
     lossy = Network(NetworkConfig(jitter_share=0.0, loss_share=1.0), 1)
-    assert (
-        lossy.sample_delay(ZONE_0, ZONE_0) == WITHOUT_JITTER.same_zone_ms + WITHOUT_JITTER.retransmit_ms
-    )  # TCP sends it again
+    # TCP retransmits lost packets, which delays their message.
+    retransmitted_ms = WITHOUT_JITTER.same_zone_ms + WITHOUT_JITTER.retransmit_ms
+    assert lossy.sample_delay(ZONE_0, ZONE_0) == retransmitted_ms
--- a/tests/lab/simulation/test_scheduler.py
+++ b/tests/lab/simulation/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The event scheduler and the random streams."""
+"""The order of scheduled events, and the independence of random streams."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     seen: list[tuple[str, float]] = []
     start = scheduler.now
     for delay, name in ((5.0, "c"), (1.0, "a"), (1.0, "b"), (-3.0, "past")):
-        scheduler.schedule_after(delay, lambda one: seen.append((one, scheduler.now - start)), name)
+        scheduler.schedule_after(delay, lambda event: seen.append((event, scheduler.now - start)), name)
     scheduler.run_until(start + 4.0)
     assert (seen, scheduler.now) == ([("past", 0.0), ("a", 1.0), ("b", 1.0)], start + 4.0)
     assert (
--- a/tests/lab/simulation/test_servers.py
+++ b/tests/lab/simulation/test_servers.py
@@ -1,4 +1,4 @@
-"""Simulated servers against the rules that are published for real ones."""
+"""Simulated servers follow the rules of the simulator wire specification for real ones."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 
 
 class Machine:
-    """A server, with the outcomes of its tasks."""
+    """A server and the outcomes of its tasks, with the time of each response."""
 
     def __init__(self, **config: Any) -> None:
-        self.scheduler, self.metrics = EventScheduler(), Metrics()
+        self.scheduler = EventScheduler()
+        self.metrics = Metrics()
         self.server = Server(
             self.scheduler, self.metrics, ServerConfig(**config), "s", ZONE_0, service_time_ms=100.0, pool=0
         )
@@ -75,7 +76,9 @@
 
 
 @pytest.mark.parametrize(("warm", "fails"), [(False, True), (True, False)])
-def test_a_warming_server_fails_beyond_its_budget_and_chance(warm: bool, fails: bool) -> None:
+def test_a_warming_server_fails_above_its_budget_and_the_margin_for_random_arrivals(
+    warm: bool, fails: bool
+) -> None:
     machine = Machine(
         cores=2,
         queue_capacity=1000,
@@ -86,7 +89,7 @@
     )
     if not warm:
         machine.server.start()
-    budget = 2.0 * 0.25 * 2 * 1000.0 / 100.0  # ten calls, and by chance 2 sqrt(10) + 2 more: 18 in all
+    budget = 2.0 * 0.25 * 2 * 1000.0 / 100.0  # 10 calls; the limit is 10 + 2 sqrt(10) + 2, so 18 calls fit.
     machine.send(18)
     assert not machine.metrics.cold_failures
     assert machine.metrics.peak_cold_load == (
@@ -124,7 +127,8 @@
     machine.server.state = ServerState.DRAINING
     machine.send(1)
     machine.run(500.0)
-    assert machine.counts() == {CallOutcome.OK: 2, CallOutcome.REJECTED: 1}  # it completes what it has
+    # A draining server completes accepted requests.
+    assert machine.counts() == {CallOutcome.OK: 2, CallOutcome.REJECTED: 1}
     machine.server.state = ServerState.HUNG
     machine.send(1)
     machine.run(5000.0)
@@ -137,6 +141,6 @@
     assert machine.counts()[CallOutcome.RESET] == 3
     machine.server.start()
     machine.send(3)
-    machine.server.stop(ServerState.VANISHED)  # says nothing
+    machine.server.stop(ServerState.VANISHED)  # A vanished server sends no resets.
     machine.run(5000.0)
     assert len(machine.outcomes) == 7
