--- a/quota_gateway/lab/simulation/arrivals.py
+++ b/quota_gateway/lab/simulation/arrivals.py
@@ -60,7 +60,7 @@
         self._batch: list[Arrival] = []  # In reverse order of time: the next arrival is the last element.
 
     def draw_batch(self) -> None:
-        """Draw the arrivals of the next `BATCH_MS`, and schedule the drawing of the batch after it."""
+        """Draw the arrivals of the next `BATCH_MS`, and schedule the next call of this method."""
         now = self._scheduler.now
         if now >= self._clients.end:
             return
@@ -78,6 +78,7 @@
         times = np.sort(rng.random(count)) * BATCH_MS + now
         tenants = np.searchsorted(pool.cumulative_shares, rng.random(count))
         units = rng.choice(np.arange(1, self._max_units + 1), size=count, p=self._unit_shares)
+        # The factor from the gamma distribution has mean 1 and the coefficient of variation `variation`.
         work = units / self._mean_units * rng.gamma(1.0 / variation**2, size=count)
         work *= variation**2
         columns = (times.tolist(), tenants.tolist(), units.astype(float).tolist(), work.tolist())
--- a/quota_gateway/lab/simulation/clients.py
+++ b/quota_gateway/lab/simulation/clients.py
@@ -71,7 +71,12 @@
         ]
 
     def send(self, request: ClientRequest, retries: int = 0) -> None:
-        """Send an attempt to the gateway that the load balancer chooses."""
+        """Send an attempt to the gateway that the load balancer chooses.
+
+        Args:
+            request: the request that the attempt is for.
+            retries: number of earlier attempts for the request.
+        """
         config = self.config
         now = self.scheduler.now
         timeout_ms = min(
--- a/quota_gateway/lab/simulation/counter.py
+++ b/quota_gateway/lab/simulation/counter.py
@@ -12,8 +12,8 @@
 from quota_gateway.lab.simulation.scheduler import EventScheduler
 from quota_gateway.policy_api.events import CallOutcome
 
-MAX_TTL_MS = 60_000.0
-EXPIRY_SWEEP_MS = 10_000.0  # Interval at which expired keys are removed to free memory.
+MAX_TTL_MS = 60_000.0  # Longer TTLs are shortened to this.
+EXPIRY_SWEEP_MS = 10_000.0  # Interval at which expired keys are removed, which only frees memory.
 
 Reply = Callable[[CallOutcome, float], None]  # Receives the outcome and the key's total after the call.
 
--- a/quota_gateway/lab/simulation/discovery.py
+++ b/quota_gateway/lab/simulation/discovery.py
@@ -69,10 +69,9 @@
         self.histories = [EndpointHistory() for _ in range(pool_count)]
         self.busy_ms = 0.0
         self._rng = random_stream(seed, "discovery")
-        self._parked: list[dict[Watcher, int]] = [
-            {} for _ in range(pool_count)
-        ]  # Call id of each open watch.
-        self._free_at = 0.0
+        # Ids of the calls that are kept open, by pool and watch.
+        self._parked: list[dict[Watcher, int]] = [{} for _ in range(pool_count)]
+        self._free_at = 0.0  # Time at which all queued answers will have been sent.
         self._down = False
         self._down_at = 0.0
         self._up_at = 0.0
--- a/quota_gateway/lab/simulation/experiment.py
+++ b/quota_gateway/lab/simulation/experiment.py
@@ -30,17 +30,17 @@
     gateways: PositiveInt
     servers: PositiveInt
     visible_servers: PositiveInt | None = None  # Servers in the endpoint list of one gateway; None: all.
-    regions: SmallInt = 1  # One site today; the capacity target has 6.
-    zones: SmallInt = 1  # The capacity target has 23.
+    regions: SmallInt = 1  # One site today; the capacity target is 6.
+    zones: SmallInt = 1  # Zones in all regions together; the capacity target is 23.
 
 
 class LoadConfig(Table, frozen=True):
     """Demand of all clients together."""
 
-    requests_per_s: PositiveFloat  # First attempts; about 120 today, 210,000 in the capacity target.
+    requests_per_s: PositiveFloat  # First attempts per second; about 120 today, capacity target 210,000.
     # Share of the tenants, and so of the requests, that is simulated.
     sampled_share: Annotated[float, Meta(gt=0, le=1)] = 1.0
-    tenants: PositiveInt = 200  # The capacity target has 87,000.
+    tenants: PositiveInt = 200  # The capacity target is 87,000.
     # Exponent of the Zipf distribution of demand over the tenants of a plan. With 0.5 about one tenant in
     # twelve is over its quota.
     zipf_exponent: Exponent = 0.5
@@ -64,14 +64,14 @@
 class ClientConfig(Table, frozen=True):
     """Time-outs, retries and disconnects of clients."""
 
-    max_retries: Annotated[int, Meta(ge=0, le=20)] = 3
+    max_retries: Annotated[int, Meta(ge=0, le=20)] = 3  # Largest number of retries of one request.
     retry_after_share: Share = 0.7  # Share of retries that honour a retry-after; only some clients do.
     backoff_ms: Range = (0.0, 400.0)  # Wait before all other retries; 0 means an immediate retry.
-    latency_objective_ms: PositiveFloat = 1000.0
+    latency_objective_ms: PositiveFloat = 1000.0  # A later answer to a request earns no revenue.
     deadline_ms: PositiveFloat = 2500.0  # Deadline of a request including all its retries.
     timeout_share: tuple[Share, Share] = (0.5, 1.0)  # Time-out of one attempt, as a share of `deadline_ms`.
     disconnect_share: Share = 0.02  # Share of attempts whose client does not wait for the answer.
-    disconnect_after_ms: Range = (0.0, 500.0)  # Time after which such a client disconnects.
+    disconnect_after_ms: Range = (0.0, 500.0)  # Time after which it disconnects if there is no answer.
     failover_ms: Range = (1200.0, 3200.0)  # Time for which requests still go to a gateway that has died.
 
 
@@ -83,10 +83,10 @@
     service_time_ms: Range = (80.0, 140.0)  # Mean work of a request on one core of a warm server.
     service_time_variation: Exponent = 0.3  # Coefficient of variation of the work per unit.
     initial_capacity_share: Share = 0.17  # Capacity of a server at its start, as a share of a warm server's.
-    warm_up_ms: PositiveFloat = 18000.0
+    warm_up_ms: PositiveFloat = 18000.0  # Time from a server's start to its full capacity.
     # Calls that a warming server bears in one overload window, as a multiple of what its capacity can serve.
     overload_factor: PositiveFloat = 3.0
-    overload_window_ms: PositiveFloat = 3000.0
+    overload_window_ms: PositiveFloat = 3000.0  # Time for which calls to a warming server are counted.
     # Time after the notice of a drain in which gateways may still send attempts to the server.
     drain_grace_ms: NonNegativeFloat = 250.0
     drain_period_ms: NonNegativeFloat = 4000.0  # Time from draining to gone; 2 to 6 s on the bench.
@@ -102,11 +102,11 @@
     """The shared counter."""
 
     enabled: bool = True
-    machines: SmallInt = 1  # Keys are spread over the machines of a region.
+    machines: SmallInt = 1  # Machines in all regions; the keys of a region are spread over its machines.
     partitions: SmallInt = 2  # Partitions of one machine; 1 to 3 on the bench.
     calls_per_s: Range = (550.0, 740.0)  # Capacity of one machine.
     processing_ms: Range = (0.66, 1.6)  # Latency of a call without network delay and queueing.
-    timeout_ms: PositiveFloat = 80.0
+    timeout_ms: PositiveFloat = 80.0  # Time-out of a call at the gateway.
     # Queueing time, as a multiple of `timeout_ms`, above which a partition answers BUSY.
     queue_limit_timeouts: Range = (0.4, 3.0)
     loss_share: Share = 0.0  # Share of calls that are lost.
--- a/quota_gateway/lab/simulation/server_attempts.py
+++ b/quota_gateway/lab/simulation/server_attempts.py
@@ -16,7 +16,7 @@
 from quota_gateway.policy_api.actions import StartAttempt
 from quota_gateway.policy_api.events import AttemptCompleted, CallOutcome
 
-# Time after a client's disconnect from which a new attempt for it is a rule violation.
+# Time that a gateway has to notice a client's disconnect; a later attempt for the client is a rule violation.
 DISCONNECT_NOTICE_MS = 100.0
 SERVER_VALUE_FRAMING_BYTES = 24  # Protocol overhead of a value that a server sends.
 NEVER_USED_AT_MS = -1e9  # Time of the last use of a connection that does not exist.
--- a/quota_gateway/lab/simulation/simulation.py
+++ b/quota_gateway/lab/simulation/simulation.py
@@ -48,8 +48,8 @@
     Attributes:
         wall_s: elapsed time of the run.
         processor_s: processor time of the run.
-        memory_bytes: resident memory after each stage: "start", "servers_and_tenants" (built), "gateways"
-            (built), "end" (of the run).
+        memory_bytes: resident memory by stage: "start" (nothing is built), "servers_and_tenants" and
+            "gateways" (these are built), "end" (the run is complete).
     """
 
     wall_s: float = 0.0
--- a/tests/lab/simulation/test_endpoint_notices.py
+++ b/tests/lab/simulation/test_endpoint_notices.py
@@ -13,7 +13,7 @@
     simulation = run_small_fleet(0.1)
     gateway = simulation.gateways[0]
     server = next(iter(simulation.servers.by_name.values()))
-    # A gateway without a notice counts as notified when the deadline after discovery's knowledge has passed.
+    # A gateway without a notice counts as notified a fixed time after discovery learned of the drain.
     notice_delay_ms = 0.0 if notified else simulation.experiment.discovery.notification_deadline_ms
     endpoint = server.endpoint(EndpointState.DRAINING)
     if notified:
