--- a/tests/policy/slow_start_simulation.py
+++ b/tests/policy/slow_start_simulation.py
@@ -1,9 +1,12 @@
-"""A simulation of many gateways before one fleet, of which one server is warming up.
+"""A simulation of many gateways in front of one fleet in which one server is warming up.
 
-The fleet answers every attempt on a simulated clock. A server works one request after another at its capacity
-and rejects what would wait too long; while it is warming up, its capacity rises evenly to the full. The
-result is the largest share of the bound that any overload window took. The bound is N + 2 x root of N + 2
-requests of mean work, N being factor x capacity x window, with the capacity in the middle of that window.
+The fleet answers every attempt on a simulated clock. A server processes one request after another at its
+capacity and rejects requests that would wait too long. While a server is warming up, its capacity rises
+linearly to its full capacity.
+
+The main result is the peak load of the warming server: the largest ratio of the work sent to it within one
+overload window to a bound. The bound is N + 2 x sqrt(N) + 2 requests of mean work. N is the product of the
+overload factor, the length of the overload window and the capacity in the middle of the window.
 """
 
 from __future__ import annotations
@@ -23,17 +26,27 @@
 from tests.policy.scripted_host import SETTINGS
 from tests.policy.simulated_fleet import SimulatedFleet
 
-CAPACITY = 20.0  # requests of mean work that a warm server answers in a second
-LULL_MS = 4500.0
-MAX_PLAY_MS = 9_500.0  # simulated from the start of the warming server on; or until it is warm
-MAX_WAIT_MS = 300.0  # a server rejects what would wait longer than this
-NETWORK_MS = 10.0  # there and back
-FAILURE_MS = 2.0  # until a rejection or a refused connection is known
-LATENCY_OBJECTIVE_MS = 400.0  # so that the gateways' first guess of the mean duration is about right
-LEARNING_MS = 5_000.0  # of traffic before the warming server comes
-MAX_LOAD = 10.0  # times the even load of one gateway: the most that a scenario names
+# Capacity of a warm server, in requests of mean work per second.
+CAPACITY = 20.0
+# End of the lull in the scenarios that have one, counted from the start of the warming server.
+LULL_END_MS = 4500.0
+# Longest simulated time from the start of the warming server; a simulation also ends before it is warm.
+MAX_SIMULATED_MS = 9_500.0
+# Longest wait at a server: it rejects requests that would wait longer.
+MAX_WAIT_MS = 300.0
+# Round-trip time between a gateway and a server.
+ROUND_TRIP_MS = 10.0
+# Time until a gateway learns about a rejection or a refused connection.
+FAILURE_MS = 2.0
+# Latency objective with which the initial mean duration of the gateways is close to the real one.
+LATENCY_OBJECTIVE_MS = 400.0
+# Time of traffic before the warming server starts.
+LEARNING_MS = 5_000.0
+# Highest load of a gateway in any scenario, as a multiple of an even share of the warm servers' capacity.
+MAX_LOAD = 10.0
 CLASS_NAMES = ("read", "read", "order", "bid")
-WARMING = "cold"  # id of the server that is warming up; ids decide who is in which subset
+# Id of the server that is warming up. Subsets depend on ids, so a change of the id changes the results.
+WARMING = "cold"
 
 SLOW_START_SETTINGS = {
     "short": SlowStartSettings(
@@ -50,28 +63,31 @@
 
 @dataclass
 class Scenario:
-    """What the gateways meet. Times are ms since the start of the warming server."""
+    """Traffic and failures of one simulation. Times are ms since the start of the warming server."""
 
     gateway_count: int
     slow_start: SlowStartSettings
     warm_servers: int = 8
-    load: Callable[[float, int], float] = lambda now_ms, gateway: 0.95  # of what the warm servers can do
+    # Load of a gateway at a time, as a multiple of an even share of the capacity of the warm servers.
+    load: Callable[[float, int], float] = lambda now_ms, gateway: 0.95
+    # Size of a request of a gateway, in quota units.
     units: Callable[[random.Random, int], float] = lambda rng, gateway: 1.0
     mean_units: float = 1.0
-    restarted: bool = False  # the gateways start with the warming server in their lists
-    fails: Callable[[float, int], bool] = lambda now_ms, server: False  # whether a warm server fails
+    restarted: bool = False  # whether the gateways start with the warming server in their lists
+    # Whether a warm server, by its number, is unreachable at a time.
+    is_failing: Callable[[float, int], bool] = lambda now_ms, server: False
 
 
 @dataclass
 class ServerModel:
-    """A server that works one request after another."""
+    """A server that processes one request after another."""
 
     endpoint: Endpoint
-    free_at_ms: float = 0.0
+    free_at_ms: float = 0.0  # when the accepted requests are completed
 
 
 class SlowStartSimulation(SimulatedFleet):
-    """Plays one scenario."""
+    """The simulation of one scenario."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         settings = replace(
@@ -81,7 +97,8 @@
             counter_enabled=False,
             max_pending_requests=100_000,
             classes=tuple(
-                replace(each, latency_objective_ms=LATENCY_OBJECTIVE_MS) for each in SETTINGS.classes
+                replace(request_class, latency_objective_ms=LATENCY_OBJECTIVE_MS)
+                for request_class in SETTINGS.classes
             ),
         )
         gateways = [
@@ -92,43 +109,51 @@
         self.scenario = scenario
         self.rng = random.Random(seed)
         self.started_ms = self.now_ms if scenario.restarted else self.now_ms + LEARNING_MS
-        self.taken: list[tuple[float, float]] = []  # by the warming server: when, and work
-        self.answered = 0.0  # work that the warming server completed
+        # Time and work of each attempt at the warming server; the unit of work is the mean work of a request.
+        self.attempts_at_warming: list[tuple[float, float]] = []
+        self.completed_work = 0.0  # work that the warming server completes
         self._request_ids = (f"r{i}" for i in itertools.count())
         warm = tuple(Endpoint(f"s{i}", "a") for i in range(scenario.warm_servers))
         warming = Endpoint(WARMING, "a", started_ms=self.started_ms)
         self.servers = {endpoint.server_id: ServerModel(endpoint) for endpoint in (*warm, warming)}
-        cached = (*warm, warming) if scenario.restarted else warm
+        initial_list = (*warm, warming) if scenario.restarted else warm
         for index in range(scenario.gateway_count):
-            self.schedule(self.now_ms, index, EndpointUpdate(UpdateKind.CACHED_SNAPSHOT, cached))
+            self.schedule(self.now_ms, index, EndpointUpdate(UpdateKind.CACHED_SNAPSHOT, initial_list))
             if not scenario.restarted:
                 self.schedule(self.started_ms, index, EndpointUpdate(UpdateKind.DELTA, (warming,)))
 
     def play(self) -> None:
-        """Play the scenario to its end."""
-        end_ms = self.started_ms + min(MAX_PLAY_MS, 0.98 * self.scenario.slow_start.warm_up_ms)
+        """Simulate the scenario to its end."""
+        end_ms = self.started_ms + min(MAX_SIMULATED_MS, 0.98 * self.scenario.slow_start.warm_up_ms)
         self._schedule_requests(end_ms)
         self.run_until(end_ms)
 
     def start_attempt(self, gateway: int, attempt: StartAttempt) -> None:
+        """Let the server process or reject an attempt and schedule its completion."""
         server = self.servers[attempt.server_id]
         pending = self.gateways[gateway].pending[attempt.request_id]
         work = pending.units / self.scenario.mean_units
         warming = attempt.server_id == WARMING
         if warming:
-            self.taken.append((self.now_ms, work))
+            self.attempts_at_warming.append((self.now_ms, work))
         start_ms = max(self.now_ms, server.free_at_ms)
         finish_ms = start_ms + 1000.0 * work / CAPACITY / self._warm_up_factor(server.endpoint, self.now_ms)
-        outcome, completed_ms = CallOutcome.OK, finish_ms + NETWORK_MS
-        if not warming and self.scenario.fails(self.now_ms - self.started_ms, int(attempt.server_id[1:])):
-            outcome, completed_ms = CallOutcome.UNREACHABLE, self.now_ms + FAILURE_MS
+        outcome = CallOutcome.OK
+        completed_ms = finish_ms + ROUND_TRIP_MS
+        if not warming and self.scenario.is_failing(
+            self.now_ms - self.started_ms, int(attempt.server_id[1:])
+        ):
+            outcome = CallOutcome.UNREACHABLE
+            completed_ms = self.now_ms + FAILURE_MS
         elif start_ms - self.now_ms > MAX_WAIT_MS:
-            outcome, completed_ms = CallOutcome.REJECTED, self.now_ms + FAILURE_MS
+            outcome = CallOutcome.REJECTED
+            completed_ms = self.now_ms + FAILURE_MS
         else:
             server.free_at_ms = finish_ms
-            self.answered += work if warming else 0.0
+            self.completed_work += work if warming else 0.0
         if attempt.timeout_ms and completed_ms - self.now_ms > attempt.timeout_ms:
-            outcome, completed_ms = CallOutcome.TIMEOUT, self.now_ms + attempt.timeout_ms
+            outcome = CallOutcome.TIMEOUT
+            completed_ms = self.now_ms + attempt.timeout_ms
         completed = AttemptCompleted(
             attempt.request_id,
             pending.attempts - 1,
@@ -140,38 +165,40 @@
         self.schedule(completed_ms, gateway, completed)
 
     def peak_load(self) -> float:
-        """Return the largest share of the bound that any overload window took."""
-        rules, peak = self.scenario.slow_start, 0.0
+        """Return the largest ratio of the work sent in an overload window to the bound of that window."""
+        rules = self.scenario.slow_start
+        peak = 0.0
         window: deque[tuple[float, float]] = deque()
-        total = 0.0
-        for at_ms, work in self.taken:
+        window_work = 0.0
+        for at_ms, work in self.attempts_at_warming:
             window.append((at_ms, work))
-            total += work
+            window_work += work
             while window[0][0] <= at_ms - rules.overload_window_ms:
-                total -= window.popleft()[1]
+                window_work -= window.popleft()[1]
             middle_ms = at_ms - 0.5 * rules.overload_window_ms
             capacity = CAPACITY * self._warm_up_factor(self.servers[WARMING].endpoint, middle_ms)
-            requests = rules.overload_factor * capacity * rules.overload_window_ms / 1000.0
-            peak = max(peak, total / (requests + 2.0 * math.sqrt(requests) + 2.0))
+            overload_requests = rules.overload_factor * capacity * rules.overload_window_ms / 1000.0
+            bound = overload_requests + 2.0 * math.sqrt(overload_requests) + 2.0
+            peak = max(peak, window_work / bound)
         return peak
 
     def utilisation(self) -> float:
-        """Return the share of what the warming server could do that it answered."""
+        """Return the work that the warming server completed as a share of its capacity over the time."""
         endpoint = self.servers[WARMING].endpoint
-        first = self._warm_up_factor(endpoint, self.started_ms)
-        mean = (first + self._warm_up_factor(endpoint, self.now_ms)) / 2.0
-        return self.answered / (CAPACITY * mean * (self.now_ms - self.started_ms) / 1000.0)
+        first_factor = self._warm_up_factor(endpoint, self.started_ms)
+        mean_factor = (first_factor + self._warm_up_factor(endpoint, self.now_ms)) / 2.0
+        return self.completed_work / (CAPACITY * mean_factor * (self.now_ms - self.started_ms) / 1000.0)
 
     def _schedule_requests(self, end_ms: float) -> None:
-        """Schedule Poisson arrivals at each gateway, by thinning of the highest rate that a load names."""
+        """Schedule Poisson arrivals at each gateway by thinning arrivals at `MAX_LOAD`."""
         scenario = self.scenario
-        even = CAPACITY * scenario.warm_servers / scenario.gateway_count / 1000.0
+        even_rate = CAPACITY * scenario.warm_servers / scenario.gateway_count / 1000.0
         for gateway in range(scenario.gateway_count):
             at_ms = self.now_ms
-            while (at_ms := at_ms + self.rng.expovariate(even * MAX_LOAD)) < end_ms:
-                share = scenario.load(at_ms - self.started_ms, gateway) / MAX_LOAD
-                assert share <= 1.0
-                if self.rng.random() < share:
+            while (at_ms := at_ms + self.rng.expovariate(even_rate * MAX_LOAD)) < end_ms:
+                probability = scenario.load(at_ms - self.started_ms, gateway) / MAX_LOAD
+                assert probability <= 1.0
+                if self.rng.random() < probability:
                     units = scenario.units(self.rng, gateway)
                     class_name = self.rng.choice(CLASS_NAMES)
                     request_id = next(self._request_ids)
@@ -179,6 +206,7 @@
                     self.schedule(at_ms, gateway, request)
 
     def _warm_up_factor(self, endpoint: Endpoint, at_ms: float) -> float:
+        """Return the share of its full capacity that a server has at a time."""
         if not endpoint.started_ms:
             return 1.0
         rules = self.scenario.slow_start
@@ -186,69 +214,76 @@
         return min(1.0, rules.initial_capacity_share + (1.0 - rules.initial_capacity_share) * progress)
 
 
-def some_fail(now_ms: float, server: int) -> bool:
-    """From a second after the start, all but two of the warm servers are unreachable."""
+def most_fail(now_ms: float, server: int) -> bool:
+    """All but two of the warm servers are unreachable from one second after the start."""
     return now_ms > 1000.0 and server >= 2
 
 
-def some_fail_after_lull(now_ms: float, server: int) -> bool:
-    return now_ms > LULL_MS and server >= 2
+def most_fail_after_lull(now_ms: float, server: int) -> bool:
+    """All but two of the warm servers are unreachable from the end of the lull on."""
+    return now_ms > LULL_END_MS and server >= 2
 
 
-def shift(now_ms: float, gateway: int) -> float:
-    """From a second after the start, all requests go through one gateway in ten."""
+def shift_load(now_ms: float, gateway: int) -> float:
+    """All requests go through one gateway in ten from one second after the start."""
     if now_ms < 1000.0:
         return 0.95
     return 9.5 if gateway % 10 == 0 else 0.0
 
 
-def shift_back(now_ms: float, gateway: int) -> float:
-    """One gateway in ten has all requests; then they spread again, to gateways that knew a busy time."""
+def shift_back_load(now_ms: float, gateway: int) -> float:
+    """All requests go through one gateway in ten for a while, then through all gateways again.
+
+    The other gateways then still know the rates of a busy time.
+    """
     if now_ms < -2500.0 or now_ms > 3000.0:
         return 0.95
     return 9.5 if gateway % 10 == 0 else 0.0
 
 
-def burst(now_ms: float, gateway: int) -> float:
-    """Calm, then more than the warm servers can do."""
+def burst_load(now_ms: float, gateway: int) -> float:
+    """A low load, then more than the capacity of the warm servers."""
     return 0.25 if now_ms < 2000.0 else 1.6
 
 
-def lull(now_ms: float, gateway: int) -> float:
-    """Busy until the start, then a lull in which slots could gather, then a burst."""
-    return 0.95 if now_ms < -500.0 else 0.05 if now_ms < LULL_MS else 1.6
+def lull_load(now_ms: float, gateway: int) -> float:
+    """A high load until the start, then a lull in which slots could accumulate, then a burst."""
+    return 0.95 if now_ms < -500.0 else 0.05 if now_ms < LULL_END_MS else 1.6
 
 
 def mixed_units(rng: random.Random, gateway: int) -> float:
+    """One request in ten is large."""
     return 20.0 if rng.random() < 0.1 else 1.0
 
 
-def seldom_huge_units(rng: random.Random, gateway: int) -> float:
+def rarely_huge_units(rng: random.Random, gateway: int) -> float:
+    """Two requests in a hundred are very large."""
     return 60.0 if rng.random() < 0.02 else 1.0
 
 
 def units_by_gateway(rng: random.Random, gateway: int) -> float:
-    """One gateway in ten (of two: the first) has the large requests."""
+    """One gateway in ten has only large requests; of two gateways it is the first."""
     return 20.0 if gateway % 10 == 0 else 1.0
 
 
-LOADS = {"shift": shift, "back": shift_back, "burst": burst, "lull": lull}
-UNITS = {"mixed": mixed_units, "huge": seldom_huge_units, "gateway": units_by_gateway}
+LOADS = {"shift": shift_load, "back": shift_back_load, "burst": burst_load, "lull": lull_load}
+UNITS = {"mixed": mixed_units, "huge": rarely_huge_units, "gateway": units_by_gateway}
 
 
 def scenario_of(name: str, gateway_count: int, slow_start: SlowStartSettings) -> Scenario:
-    """Return the scenario that the words of a name describe; a number is that of the warm servers."""
+    """Return the scenario that the words of a name describe. A number sets the number of warm servers."""
     scenario = Scenario(gateway_count, slow_start)
     mean_units = {"mixed": 2.9, "huge": 2.18, "gateway": 10.5 if gateway_count == 2 else 2.9}
     for word in name.split():
         if word in LOADS and (gateway_count > 2 or word not in ("shift", "back")):
             scenario.load = LOADS[word]
         elif word in UNITS:
-            scenario.units, scenario.mean_units = UNITS[word], mean_units[word]
+            scenario.units = UNITS[word]
+            scenario.mean_units = mean_units[word]
         elif word == "restart":
             scenario.restarted = True
         elif word == "failures":
-            scenario.fails = some_fail_after_lull if "lull" in name else some_fail
+            scenario.is_failing = most_fail_after_lull if "lull" in name else most_fail
         elif word.isdigit():
             scenario.warm_servers = int(word)
     return scenario
@@ -257,7 +292,7 @@
 def play(
     name: str, gateway_count: int, slow_start: SlowStartSettings, seeds: int
 ) -> list[SlowStartSimulation]:
-    """Play a scenario with seeds 0, 1, ...; return the simulations."""
+    """Simulate a scenario with the seeds 0, 1 and so on; return the finished simulations."""
     scenario = scenario_of(name, gateway_count, slow_start)
     simulations = [SlowStartSimulation(scenario, seed) for seed in range(seeds)]
     for simulation in simulations:
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: a server that is warming up bears what all gateways together send it, and is used."""
+"""Slow start: all gateways together neither overload a server that is warming up nor leave it unused."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.policy.traffic import FORTY, HUNDREDS, serve_at_mean_pace, start_servers
 
 
-def test_warming_server_gets_less_than_its_share_of_warm_traffic() -> None:
+def test_warming_server_gets_at_most_half_the_requests_of_a_warm_one() -> None:
     host = ScriptedHost(make_endpoints(4))
     host.warm_up()
     start_servers(host, WARMING)
@@ -28,9 +28,9 @@
         host.now_ms += 5.0
         host.complete(request_id, 0, CallOutcome.OK)
         host.now_ms += 5.0
-    warm = sum(count for server_id, count in attempts.items() if server_id != WARMING) / 4
+    per_warm_server = sum(count for server_id, count in attempts.items() if server_id != WARMING) / 4
     assert host.now_ms - start_ms <= 1000.0
-    assert attempts.get(WARMING, 0) <= max(1.0, 0.5 * warm)
+    assert attempts.get(WARMING, 0) <= max(1.0, 0.5 * per_warm_server)
 
 
 def test_three_gateways_together_keep_a_warming_servers_budget() -> None:
@@ -48,30 +48,31 @@
                 host.now_ms += 5.0
                 host.complete(request_id, 0, CallOutcome.OK)
             host.now_ms += 5.0
-    # It starts at a quarter of its capacity and bears twice that: half of what a warm one gets, at most.
+    # The server starts at a quarter of its capacity and fails above twice that, so it may get at most half
+    # the requests of a warm server.
     assert warm > 200
     assert warming <= 0.5 * warm / 4
 
 
 @pytest.mark.parametrize("servers", [4, 12])
 def test_forty_gateways_together_do_not_overload_a_warming_server(servers: int) -> None:
-    """Warm servers answer what they can at most, and the other one starts as cold as any can be."""
+    """The warm servers work at full capacity while the warming server has its initial capacity."""
     warming = warm = 0
     for seed in range(FORTY.gateway_count):
         host = ScriptedHost(make_endpoints(servers), FORTY, seed=seed)
         host.warm_up()
         start_servers(host, WARMING)
-        server_ids = serve_at_mean_pace(host, 10, 100.0)  # for a second, in which it warms by little
+        server_ids = serve_at_mean_pace(host, 10, 100.0)  # one second: its capacity changes little
         warming += server_ids.count(WARMING)
         warm += len(server_ids) - server_ids.count(WARMING)
     rules = FORTY.slow_start
-    budget = rules.overload_factor * (rules.initial_capacity_share + 0.1) * warm / servers
-    assert warming <= 0.8 * budget
+    overload_requests = rules.overload_factor * (rules.initial_capacity_share + 0.1) * warm / servers
+    assert warming <= 0.8 * overload_requests
 
 
 @pytest.mark.parametrize("restarted", [False, True])
 def test_first_slots_of_sixty_gateways_do_not_coincide(restarted: bool) -> None:
-    """Each gateway's first slot was open at once: as many requests as gateways in one moment."""
+    """If the first slot of each gateway is open from the start, all gateways send a request at once."""
     settings = replace(SETTINGS, gateway_count=60)
     warming = Endpoint(WARMING, "a", started_ms=1000.0)
     total = 0
@@ -81,21 +82,23 @@
         if not restarted:
             host.handle(EndpointUpdate(UpdateKind.DELTA, (warming,)))
         for server_id, server in host.gateway.load_balancer.endpoints.servers.items():
-            server.in_flight += 0 if server_id == WARMING else 16  # more than the warm ones get at ease
+            server.in_flight += 0 if server_id == WARMING else 16  # keeps the warm servers busy
         _, actions = host.request()
         total += sum(attempt.server_id == WARMING for attempt in of_type(actions, StartAttempt))
-    # Warm at ten a second, it starts at a quarter and fails at twice that, over a second.
+    # A server that completes ten requests a second when warm starts at a quarter of that rate. It fails above
+    # twice its present rate over a second, that is above five requests.
     assert total <= 5
 
 
-def test_new_gateway_sends_little_to_a_fleet_that_is_warming_up() -> None:
+def test_new_gateway_sends_few_requests_to_a_fleet_that_is_warming_up() -> None:
     host = ScriptedHost(make_endpoints(3, started_ms=1000.0))
     attempts = sum(len(of_type(host.request()[1], StartAttempt)) for _ in range(200))
     assert attempts <= 6
 
 
 def test_attempts_at_warming_servers_do_not_raise_their_slot_rate() -> None:
-    # With every server warming up, each slot once counted as warm traffic and the slots came ever faster.
+    # If responses in slots count towards the rate of warm servers, the slot rate raises itself in a feedback
+    # loop while every server is warming up.
     host = ScriptedHost(make_endpoints(6, started_ms=1000.0))
     attempts = 0
     for _ in range(400):
@@ -105,7 +108,8 @@
 
 
 def test_overloaded_fleet_does_not_raise_the_slot_rate() -> None:
-    # The rate followed what warm servers were sent, three times what they could do; a new one failed too.
+    # The slot rate must follow the responses of warm servers. In an overload, the attempts exceed their
+    # capacity several times, so a slot rate derived from attempts overloads a new server too.
     host = ScriptedHost(make_endpoints(4), HUNDREDS)
     for i in range(40):
         request_id, actions = host.request(customer=f"c{i}")
@@ -115,9 +119,9 @@
     assert host.gateway.load_balancer.slow_start.warm_rate == 0.0
 
 
-def test_warming_server_gets_its_slots_where_the_warm_ones_look_idle() -> None:
-    # With its cost raised by its warm-up factor, it got nothing as long as a warm server had no attempt of
-    # this gateway in flight.
+def test_warming_server_gets_its_slots_while_warm_servers_look_idle() -> None:
+    # If the warm-up factor raises its cost, a warming server gets no requests while a warm server has no
+    # attempt of this gateway in flight.
     host = ScriptedHost(make_endpoints(4), FORTY)
     serve_at_mean_pace(host, 80)
     start_servers(host, WARMING)
@@ -126,13 +130,14 @@
 
 
 def test_warming_servers_do_not_lower_each_others_slot_rate() -> None:
-    # The rate of a warm server was taken over all servers, those that are warming up included.
+    # The rate of one warm server is the total rate divided by the number of warm servers. Counting servers
+    # that are warming up would lower it.
     rates = []
     for count in (1, 6):
         host = ScriptedHost(make_endpoints(4), FORTY)
         start_servers(host, *(f"{WARMING}{i}" for i in range(count)))
         balancer = host.gateway.load_balancer
-        for i in range(40):  # what the warm ones answer is the same
+        for i in range(40):  # the same responses of warm servers in both cases
             pending = PendingRequest(f"r{i}", 1.0, FORTY.classes[0], None, host.now_ms, host.now_ms + 1000.0)
             attempt = Attempt(pending, Endpoint(f"s{i % 4}", "a"), host.now_ms, work_ms=20.0)
             completed = AttemptCompleted(f"r{i}", 0, f"s{i % 4}", CallOutcome.OK, 20.0, True)
@@ -143,7 +148,8 @@
 
 
 def test_large_request_takes_several_slots() -> None:
-    # Requests were counted, and it is work that overloads a server.
+    # A server is overloaded by work, not by the number of requests. Each request must therefore use up slots
+    # in proportion to its size.
     waits_s: list[float] = []
     for units in (1.0, 6.0):
         host = ScriptedHost(make_endpoints(4), FORTY)
@@ -154,8 +160,9 @@
         for server in balancer.endpoints.servers.values():
             server.in_flight += 0 if server is warming else 8
         server_ids: list[str] = []
-        while server_ids != [WARMING] and host.request_count < 200:  # a large one does not take every slot
-            warming.slot_credit, warming.slot_credit_at_ms = 0.0, host.now_ms  # a slot has just opened
+        while server_ids != [WARMING] and host.request_count < 200:  # only some slots admit a large one
+            warming.slot_credit = 0.0  # a slot has just opened
+            warming.slot_credit_at_ms = host.now_ms
             attempts = of_type(host.request(units=units)[1], StartAttempt)
             server_ids = [attempt.server_id for attempt in attempts]
         assert server_ids == [WARMING]
@@ -163,15 +170,16 @@
     assert waits_s[1] > 4.0 * waits_s[0]
 
 
-def test_request_that_would_take_the_reserve_alone_goes_to_a_warm_server() -> None:
+def test_request_that_exceeds_the_safety_margin_goes_to_a_warm_server() -> None:
     host = ScriptedHost(make_endpoints(4))
     host.warm_up()
     start_servers(host, WARMING)
     servers = host.gateway.load_balancer.endpoints.servers
     server_ids: dict[float, list[str]] = {}
-    for units in (1.0, 30.0):  # 20 ms each; a core bears 500 ms of work in a second
+    for units in (1.0, 30.0):  # each unit is 20 ms of work; 500 ms in a second overload the server
         for _ in range(20):
-            servers[WARMING].slot_credit, servers[WARMING].slot_credit_at_ms = 0.0, host.now_ms
+            servers[WARMING].slot_credit = 0.0
+            servers[WARMING].slot_credit_at_ms = host.now_ms
             for server_id, server in servers.items():
                 server.in_flight = 0 if server_id == WARMING else 8
             request_id, _ = host.request(units=units)
@@ -181,8 +189,8 @@
     assert WARMING not in server_ids[30.0]
 
 
-def test_unused_slots_lapse() -> None:
-    """In a lull no more than a window's slots may gather; a burst uses all of them at once."""
+def test_unused_slots_expire() -> None:
+    """At most the slots of one overload window may accumulate in a lull: a burst uses all at once."""
     open_slots = 0
     for seed in range(60):
         host = ScriptedHost(make_endpoints(4), seed=seed)
@@ -190,35 +198,39 @@
         start_servers(host, WARMING)
         balancer = host.gateway.load_balancer
         warming = balancer.endpoints.servers[WARMING]
-        balancer.slow_start.warm_rate = 0.4  # a slot in ten seconds, were it as cold all the time
+        balancer.slow_start.warm_rate = 0.4  # a slot every ten seconds at the initial capacity
         host.now_ms += 9000.0
         open_slots += balancer.slow_start.admits(host.now_ms, warming, 0.25, 0.1)
-    assert open_slots <= 15  # one in ten is to be expected; all but a few of them had one
+    assert open_slots <= 15  # 6 of 60 are expected; without expiry, most gateways have one
 
 
 def test_slots_come_from_the_gateways_with_the_server_in_their_subset() -> None:
-    """Fewer gateways send to it, each at the rate of a server of its subset; the sum stays the same."""
+    """Each gateway with the server in its subset sends at the rate of a server of the subset.
+
+    Fewer gateways send to the server than without subsets, so the sum of their rates stays the same.
+    """
     warming = warm = senders = 0
     for index in range(40):
         host = ScriptedHost(make_endpoints(59), replace(FORTY, gateway_index=index), seed=index)
         serve_at_mean_pace(host, 60)
         start_servers(host, WARMING)
         host.advance(10.0)
-        server_ids = serve_at_mean_pace(host, 40)  # for two seconds
+        server_ids = serve_at_mean_pace(host, 40)  # two seconds
         senders += WARMING in server_ids
         warming += server_ids.count(WARMING)
         warm += len(server_ids) - server_ids.count(WARMING)
-    share = warm / 59
-    assert 1 <= warming <= 0.6 * share
+    per_warm_server = warm / 59
+    assert 1 <= warming <= 0.6 * per_warm_server
     assert senders <= 20
 
 
 # --- simulated fleets ----------------------------------------------------------------------------------
 
-SEEDS = {2: 4, 30: 4, 200: 1}  # by number of gateways
+# Number of simulations by number of gateways.
+SEED_COUNTS = {2: 4, 30: 4, 200: 1}
 
 
-@pytest.mark.parametrize("gateways", SEEDS)
+@pytest.mark.parametrize("gateways", SEED_COUNTS)
 @pytest.mark.parametrize("slow_start", SLOW_START_SETTINGS)
 @pytest.mark.parametrize(
     "scenario",
@@ -242,7 +254,7 @@
 def test_gateways_together_keep_a_warming_servers_budget(
     scenario: str, slow_start: str, gateways: int
 ) -> None:
-    simulations = play(scenario, gateways, SLOW_START_SETTINGS[slow_start], SEEDS[gateways])
+    simulations = play(scenario, gateways, SLOW_START_SETTINGS[slow_start], SEED_COUNTS[gateways])
     assert max(simulation.peak_load() for simulation in simulations) < 0.8
 
 
@@ -251,14 +263,16 @@
 def test_gateways_with_subsets_keep_a_warming_servers_budget(
     scenario: str, gateways: int, seeds: int
 ) -> None:
-    """Of sixty servers each gateway uses twenty."""
+    """Each gateway uses a subset of twenty of the sixty servers."""
     simulations = play(scenario, gateways, SLOW_START_SETTINGS["short"], seeds)
     assert max(simulation.peak_load() for simulation in simulations) < 0.8
 
 
 @pytest.mark.parametrize("scenario", ["steady", "restart"])
-@pytest.mark.parametrize(("gateways", "least"), [(2, 0.5), (30, 0.4), (200, 0.1)])
-def test_warming_server_is_used(scenario: str, gateways: int, least: float) -> None:
-    # After a restart of 30 gateways or more it got a twentieth of what it could do, or less.
-    simulations = play(scenario, gateways, SLOW_START_SETTINGS["short"], SEEDS[gateways])
-    assert sum(simulation.utilisation() for simulation in simulations) / SEEDS[gateways] > least
+@pytest.mark.parametrize(("gateways", "min_utilisation"), [(2, 0.5), (30, 0.4), (200, 0.1)])
+def test_warming_server_is_used(scenario: str, gateways: int, min_utilisation: float) -> None:
+    # Guards against a warming server that gets only a twentieth of the load that it can handle, or less,
+    # after a restart of 30 gateways or more.
+    simulations = play(scenario, gateways, SLOW_START_SETTINGS["short"], SEED_COUNTS[gateways])
+    mean_utilisation = sum(simulation.utilisation() for simulation in simulations) / SEED_COUNTS[gateways]
+    assert mean_utilisation > min_utilisation
