--- a/tests/policy/__init__.py
+++ b/tests/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the policy, from scripted events."""
+"""Tests of the policy with scripted events."""
--- a/tests/policy/scripted_host.py
+++ b/tests/policy/scripted_host.py
@@ -1,4 +1,7 @@
-"""A scripted host: feeds events to one gateway and keeps the actions. It models no server and no network."""
+"""A scripted host: passes events to one gateway and records the actions.
+
+It models no servers and no network; tests complete attempts themselves.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,7 @@
 )
 from tests.policy.fake_counter import FakeCounter, holds_usage
 
-A = TypeVar("A")
+ActionT = TypeVar("ActionT")
 
 SETTINGS = Settings(
     zone="a",
@@ -46,7 +49,7 @@
 
 
 class RequestFields(TypedDict, total=False):
-    """What a test may say of a request; `ScriptedHost.request` has the defaults."""
+    """Optional fields of a request; `ScriptedHost.request` defines the defaults."""
 
     class_name: str
     plan: str
@@ -58,12 +61,12 @@
 
 
 def make_endpoints(count: int, zones: str = "a", started_ms: float = 0.0) -> tuple[Endpoint, ...]:
-    """Return servers s0, s1, ... spread over the zones."""
+    """Return endpoints s0, s1, ... distributed over the zones in turn; each letter of `zones` is a zone."""
     return tuple(Endpoint(f"s{i}", zones[i % len(zones)], started_ms=started_ms) for i in range(count))
 
 
 class ScriptedHost:
-    """The host of one gateway; its clock moves only as the test says."""
+    """The host of one gateway. Only the test advances its clock."""
 
     def __init__(
         self, endpoints: Sequence[Endpoint] = (), settings: Settings = SETTINGS, seed: int = 1
@@ -71,17 +74,17 @@
         self.gateway = Gateway(settings, seed)
         self.counter = FakeCounter()
         self.now_ms = 1000.0
-        self.actions: list[tuple[float, Action]] = []  # all so far, and when they were returned
-        self.attempts: dict[str, list[str]] = {}  # by request: ids of the servers that it was sent to
+        self.actions: list[tuple[float, Action]] = []  # all actions so far, with the time of their return
+        self.attempts: dict[str, list[str]] = {}  # server ids of the attempts, by request id
         self.request_count = 0
         self.reply_count = 0
-        self._timers: list[tuple[float, int]] = []  # when due, and token
+        self._timers: list[tuple[float, int]] = []  # expiry time and token of pending timers
         self._pending_calls: list[IncrementCounter] = []
         if endpoints:
             self.handle(EndpointUpdate(UpdateKind.CACHED_SNAPSHOT, tuple(endpoints)))
 
     def handle(self, event: Event) -> list[Action]:
-        """Hand over one event."""
+        """Pass one event to the gateway; record and return its actions."""
         actions = self.gateway.handle(self.now_ms, event)
         for action in actions:
             self.actions.append((self.now_ms, action))
@@ -94,8 +97,9 @@
         return actions
 
     def advance(self, ms: float) -> list[Action]:
-        """Let time pass; due timers fire in order."""
-        end_ms, actions = self.now_ms + ms, []
+        """Advance the clock by `ms`; fire timers that expire, in order, and return the resulting actions."""
+        end_ms = self.now_ms + ms
+        actions: list[Action] = []
         while self._timers and min(self._timers)[0] <= end_ms:
             at_ms, token = min(self._timers)
             self._timers.remove((at_ms, token))
@@ -114,16 +118,16 @@
         gateways: int = 2,
         request_id: str = "",
     ) -> tuple[str, list[Action]]:
-        """Send a client's request; where it waits for the counter, that replies at once.
+        """Send a request of a client; if it waits for the counter, the counter replies at once.
 
-        Returns its id and the actions that it brought about.
+        Returns the request id and the resulting actions.
         """
         self.request_count += 1
         request_id = request_id or f"r{self.request_count}"
         request = Request(request_id, class_name, plan, customer, time_left_ms, units, gateways)
         actions = self.handle(request)
-        waits = of_type(actions, IncrementCounter) and not of_type(actions, StartAttempt)
-        if waits and not final_answers(actions):
+        waits_for_counter = of_type(actions, IncrementCounter) and not of_type(actions, StartAttempt)
+        if waits_for_counter and not final_answers(actions):
             actions = actions + self.reply_to_calls()
         return request_id, actions
 
@@ -135,7 +139,7 @@
         duration_ms: float = 20.0,
         request_completed: bool | None = None,
     ) -> list[Action]:
-        """Complete an attempt; unless told otherwise, a success completes the request."""
+        """Complete an attempt. By default, `CallOutcome.OK` also completes the request."""
         server_id = self.attempts[request_id][attempt]
         completed = outcome is CallOutcome.OK if request_completed is None else request_completed
         return self.handle(AttemptCompleted(request_id, attempt, server_id, outcome, duration_ms, completed))
@@ -149,11 +153,13 @@
         return True
 
     def reply_to_calls(self) -> list[Action]:
-        """Reply to every pending counter call; return what that brought about.
+        """Reply to every pending counter call; return the resulting actions.
 
-        A call for a lease that comes of it is replied to as well, what comes of that the next time.
+        Lease calls that result from these replies are answered too. Calls that result from the replies to
+        lease calls stay pending until the next time.
         """
-        calls, self._pending_calls = self._pending_calls, []
+        calls = self._pending_calls
+        self._pending_calls = []
         self.reply_count += len(calls)
         actions: list[Action] = []
         for call in calls:
@@ -164,11 +170,11 @@
         return actions
 
     def reply(self, call: IncrementCounter) -> list[Action]:
-        """Let the counter reply to one call."""
+        """Pass the counter's reply to one call."""
         return self.handle(self.counter.increment(self.now_ms, call))
 
     def warm_up(self, seconds: float = 4.0) -> None:
-        """Send ordinary traffic, each request served at once, so that means and rates are learned."""
+        """Send steady traffic, each request served in 20 ms, so that the gateway learns means and rates."""
         for _ in range(int(seconds * 20)):
             request_id, actions = self.request(customer="warm-up")
             self.now_ms += 20.0
@@ -178,11 +184,11 @@
             self.reply_to_calls()
 
 
-def of_type(actions: Sequence[Action], kind: type[A]) -> list[A]:
+def of_type(actions: Sequence[Action], kind: type[ActionT]) -> list[ActionT]:
     """Return the actions of one type."""
     return [action for action in actions if isinstance(action, kind)]
 
 
 def final_answers(actions: Sequence[Action]) -> list[Reject | Fail]:
-    """Return the final answers among some actions."""
+    """Return the final answers among the actions."""
     return [action for action in actions if isinstance(action, Reject | Fail)]
--- a/tests/policy/test_decision_cost.py
+++ b/tests/policy/test_decision_cost.py
@@ -1,7 +1,7 @@
-"""What a decision, a change of the list and a tick cost does not grow with the list.
+"""The cost of a decision, a change of the list and a tick does not grow with the length of the list.
 
-Counted are lines of the policy that are executed; what one line does inside the interpreter is held by ratios
-of times.
+The tests count the executed lines of the policy. Ratios of times bound the work that a single line does
+inside the interpreter.
 """
 
 from __future__ import annotations
@@ -27,14 +27,15 @@
 )
 from quota_gateway.policy_api.events import CallOutcome
 from tests.policy.scripted_host import ScriptedHost, make_endpoints, of_type
-from tests.policy.traffic import THOUSANDS, start_servers
+from tests.policy.traffic import THOUSANDS_OF_GATEWAYS, start_servers
 
 POLICY_FOLDER = f"{Path(quota_gateway.policy.__file__).parent}/"
-FEW, MANY = 200, 20_000  # servers
+FEW_SERVERS = 200
+MANY_SERVERS = 20_000
 
 
 def count_lines(call: Callable[[], object]) -> int:
-    """Return how many lines of the policy a call executes, each round of a loop anew."""
+    """Return how many lines of the policy a call executes; each iteration of a loop counts."""
     count = 0
 
     def trace(frame: FrameType, event: str, arg: Any) -> Any:
@@ -44,23 +45,23 @@
         count += event == "line"
         return trace
 
-    before = sys.gettrace()
+    previous_trace = sys.gettrace()
     sys.settrace(trace)
     try:
         call()
     finally:
-        sys.settrace(before)
+        sys.settrace(previous_trace)
     return count
 
 
 def host_with_servers(count: int) -> ScriptedHost:
-    host = ScriptedHost(make_endpoints(count), THOUSANDS)
+    host = ScriptedHost(make_endpoints(count), THOUSANDS_OF_GATEWAYS)
     host.warm_up()
     return host
 
 
-def decide(host: ScriptedHost, subset_full: bool = False) -> None:
-    """Send requests, each served; with a full subset, the remaining endpoints are looked at too."""
+def send_requests(host: ScriptedHost, subset_full: bool = False) -> None:
+    """Send requests and serve each; with a full subset, the policy samples the remaining endpoints too."""
     for _ in range(40):
         for server in host.gateway.load_balancer.endpoints.subset.values() if subset_full else ():
             server.in_flight = 99
@@ -70,68 +71,76 @@
             host.complete(request_id, 0, CallOutcome.OK)
 
 
-def change(host: ScriptedHost) -> None:
-    """Let a server go and come back."""
+def replace_server(host: ScriptedHost) -> None:
+    """Remove a server from the list and add a new process of it."""
     draining = Endpoint("s3", "a", state=EndpointState.DRAINING)
     host.handle(EndpointUpdate(UpdateKind.DELTA, (draining,)))
     start_servers(host, "s3")
 
 
 def tick(host: ScriptedHost) -> None:
+    """Run one tick of the gateway."""
     host.gateway.tick(host.now_ms)
 
 
 STEPS: dict[str, Callable[[ScriptedHost], None]] = {
-    "decision": decide,
-    "decision beside a full subset": lambda host: decide(host, subset_full=True),
-    "change": change,
+    "decision": send_requests,
+    "decision beside a full subset": lambda host: send_requests(host, subset_full=True),
+    "change": replace_server,
     "tick": tick,
 }
 
 
 @pytest.mark.parametrize("step", STEPS)
 def test_lines_executed_do_not_grow_with_the_list(step: str) -> None:
-    few, many = (count_lines(partial(STEPS[step], host_with_servers(count))) for count in (FEW, MANY))
-    assert 0 < many <= 1.5 * few
+    few_lines, many_lines = (
+        count_lines(partial(STEPS[step], host_with_servers(count))) for count in (FEW_SERVERS, MANY_SERVERS)
+    )
+    assert 0 < many_lines <= 1.5 * few_lines
 
 
 def test_time_does_not_grow_with_the_list() -> None:
-    """The best of several rounds, so that what else the machine does counts for little."""
-    hosts = {count: host_with_servers(count) for count in (FEW, MANY)}
-    best: dict[tuple[str, int], float] = {}
+    """Compares the best of several rounds, which other load on the machine affects least."""
+    hosts = {count: host_with_servers(count) for count in (FEW_SERVERS, MANY_SERVERS)}
+    best_s: dict[tuple[str, int], float] = {}
     for _ in range(15):
         for step, call in STEPS.items():
             for count, host in hosts.items():
                 start = time.perf_counter()
                 call(host)
-                spent = time.perf_counter() - start
-                best[step, count] = min(spent, best.get((step, count), spent))
-    assert best["decision", MANY] <= 1.5 * best["decision", FEW]
-    assert best["decision beside a full subset", MANY] <= 1.5 * best["decision beside a full subset", FEW]
-    assert best["tick", MANY] <= 2.0 * best["tick", FEW]
-    assert best["change", MANY] <= 4.0 * best["change", FEW]  # the ring's rest moves in memory
+                elapsed_s = time.perf_counter() - start
+                best_s[step, count] = min(elapsed_s, best_s.get((step, count), elapsed_s))
+    assert best_s["decision", MANY_SERVERS] <= 1.5 * best_s["decision", FEW_SERVERS]
+    assert (
+        best_s["decision beside a full subset", MANY_SERVERS]
+        <= 1.5 * best_s["decision beside a full subset", FEW_SERVERS]
+    )
+    assert best_s["tick", MANY_SERVERS] <= 2.0 * best_s["tick", FEW_SERVERS]
+    # An insertion into the hash ring moves the rest of the ring in memory.
+    assert best_s["change", MANY_SERVERS] <= 4.0 * best_s["change", FEW_SERVERS]
 
 
 def test_first_snapshot_costs_in_proportion_to_its_length() -> None:
     def lines_for(count: int) -> int:
         listed = make_endpoints(count)
-        return count_lines(lambda: ScriptedHost(listed, THOUSANDS))
+        return count_lines(lambda: ScriptedHost(listed, THOUSANDS_OF_GATEWAYS))
 
-    assert lines_for(MANY) <= 1.1 * 10 * lines_for(MANY // 10)
+    assert lines_for(MANY_SERVERS) <= 1.1 * 10 * lines_for(MANY_SERVERS // 10)
 
 
-def test_unchanged_snapshot_costs_little() -> None:
-    host = host_with_servers(MANY)
+def test_unchanged_snapshot_costs_a_few_lines_per_server() -> None:
+    host = host_with_servers(MANY_SERVERS)
     index = host.gateway.load_balancer.endpoints
-    unchanged = EndpointUpdate(UpdateKind.SNAPSHOT, make_endpoints(MANY))
-    positions, subset = list(index.ring.positions), dict(index.subset)
-    assert count_lines(lambda: host.handle(unchanged)) <= 7 * MANY
+    unchanged = EndpointUpdate(UpdateKind.SNAPSHOT, make_endpoints(MANY_SERVERS))
+    positions = list(index.ring.positions)
+    subset = dict(index.subset)
+    assert count_lines(lambda: host.handle(unchanged)) <= 7 * MANY_SERVERS
     assert (index.ring.positions, index.subset) == (positions, subset)
 
 
-def test_chunk_costs_what_it_holds_and_a_sort() -> None:
-    host = ScriptedHost((), THOUSANDS)
-    snapshot = EndpointUpdate(UpdateKind.SNAPSHOT, make_endpoints(MANY))
+def test_cost_of_a_chunk_does_not_grow_with_the_list() -> None:
+    host = ScriptedHost((), THOUSANDS_OF_GATEWAYS)
+    snapshot = EndpointUpdate(UpdateKind.SNAPSHOT, make_endpoints(MANY_SERVERS))
     costs = [count_lines(partial(host.handle, chunk)) for chunk in split_update(snapshot, ())]
     assert len(costs) == 80
     assert max(costs) <= 2.5 * costs[0]
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint index: updates of the list, subsets, the remaining endpoints."""
+"""The endpoint index: updates of the list, subsets and remaining endpoints."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     split_update,
 )
 from tests.policy.scripted_host import SETTINGS, ScriptedHost, make_endpoints, of_type
-from tests.policy.traffic import FORTY, THOUSANDS, start_servers
+from tests.policy.traffic import FORTY, THOUSANDS_OF_GATEWAYS, start_servers
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
@@ -46,42 +46,43 @@
 # --- subsets -------------------------------------------------------------------------------------------
 
 
-def subsets_of_forty(servers: tuple[Endpoint, ...]) -> list[set[str]]:
+def subsets_of_forty_gateways(servers: tuple[Endpoint, ...]) -> list[set[str]]:
     """Return the server ids in the subset of each of forty gateways."""
     hosts = [ScriptedHost(servers, replace(FORTY, gateway_index=index)) for index in range(40)]
     return [set(host.gateway.load_balancer.endpoints.subset) for host in hosts]
 
 
 def test_subsets_cover_a_large_fleet_evenly() -> None:
-    subsets = subsets_of_forty(make_endpoints(60))
+    subsets = subsets_of_forty_gateways(make_endpoints(60))
     size = len(subsets[0])
     assert size <= 30
     assert all(len(subset) == size for subset in subsets)
-    by_server = [sum(f"s{i}" in subset for subset in subsets) for i in range(60)]
-    even = 40 * size / 60
-    assert 0.7 * even <= min(by_server)
-    assert max(by_server) <= 1.3 * even
+    gateways_by_server = [sum(f"s{i}" in subset for subset in subsets) for i in range(60)]
+    mean_gateways = 40 * size / 60
+    assert 0.7 * mean_gateways <= min(gateways_by_server)
+    assert max(gateways_by_server) <= 1.3 * mean_gateways
 
 
 def test_consecutive_gateways_use_different_subsets() -> None:
-    # A customer's requests come through consecutive gateways; a busy one must not fill the same few servers.
-    subsets = subsets_of_forty(make_endpoints(60))
+    # The requests of a customer come through consecutive gateways. A busy customer must not overload the few
+    # servers that these gateways would have in common.
+    subsets = subsets_of_forty_gateways(make_endpoints(60))
     for first in range(40):
         assert len(set.union(*(subsets[(first + i) % 40] for i in range(5)))) >= 50
 
 
 def test_replaced_server_moves_each_subset_by_little() -> None:
-    before = subsets_of_forty(make_endpoints(60))
-    after = subsets_of_forty((*make_endpoints(60)[1:], Endpoint("new", "a")))
+    before = subsets_of_forty_gateways(make_endpoints(60))
+    after = subsets_of_forty_gateways((*make_endpoints(60)[1:], Endpoint("new", "a")))
     assert max(len(old - new) for old, new in zip(before, after, strict=True)) <= 2
 
 
 def test_small_fleet_is_used_whole() -> None:
-    assert subsets_of_forty(make_endpoints(17)) == [{f"s{i}" for i in range(17)}] * 40
+    assert subsets_of_forty_gateways(make_endpoints(17)) == [{f"s{i}" for i in range(17)}] * 40
 
 
 def subsets_of_gateways(servers: tuple[Endpoint, ...], gateway_count: int) -> list[set[str]]:
-    """Return the server ids in the subset of each of many gateways, all by one index."""
+    """Return the server ids in the subset of each of many gateways; a single index computes them in turn."""
     settings = replace(SETTINGS, gateway_count=gateway_count)
     index = ScriptedHost(servers, settings).gateway.load_balancer.endpoints
     subsets = []
@@ -99,14 +100,14 @@
     counts: dict[str, int] = {}
     for server_id in (server_id for subset in before for server_id in subset):
         counts[server_id] = counts.get(server_id, 0) + 1
-    even = gateways * SUBSET_SIZE / servers
-    assert 0.5 * even <= min(counts.get(f"s{i}", 0) for i in range(servers)) + 1.0
-    assert max(counts.values()) <= 1.5 * even + 1.0
+    mean_count = gateways * SUBSET_SIZE / servers
+    assert 0.5 * mean_count <= min(counts.get(f"s{i}", 0) for i in range(servers)) + 1.0
+    assert max(counts.values()) <= 1.5 * mean_count + 1.0
     assert max(len(old - new) for old, new in zip(before, after, strict=True)) <= 2
 
 
 def test_remaining_endpoints_are_used_once_they_are_warm() -> None:
-    host = ScriptedHost(make_endpoints(200), THOUSANDS)
+    host = ScriptedHost(make_endpoints(200), THOUSANDS_OF_GATEWAYS)
     endpoints = host.gateway.load_balancer.endpoints
     warming = [server_id for server_id in endpoints.servers if server_id not in endpoints.subset]
     start_servers(host, *warming)
@@ -121,7 +122,7 @@
 
 
 def index_state(index: EndpointIndex, now_ms: float) -> tuple[object, ...]:
-    """Check an index for consistency; return its state, but for the order in which it came about."""
+    """Check the consistency of an index; return its state without the order of insertion."""
     index.remaining.add_warmed(now_ms, index.servers)
     for group in index.remaining.groups.values():
         assert {server_id: group.members[i].endpoint.server_id for server_id, i in group.indexes.items()} == {
@@ -139,6 +140,7 @@
 
 
 def random_endpoint(rng: random.Random, now_ms: float) -> Endpoint:
+    """Return a random state of one of ninety servers."""
     state = rng.choice(
         [EndpointState.ACTIVE, EndpointState.ACTIVE, EndpointState.DRAINING, EndpointState.GONE]
     )
@@ -146,9 +148,9 @@
     return Endpoint(f"s{rng.randrange(90)}", rng.choice("ab"), rng.randrange(3), 1.0, started_ms, state)
 
 
-@pytest.mark.parametrize("longest", [3, 60, 200])
-def test_updates_amount_to_a_snapshot_of_the_last_state(longest: int) -> None:
-    """Deltas, restarts, moves and snapshots leave what a snapshot of the last state alone would have."""
+@pytest.mark.parametrize("max_length", [3, 60, 200])
+def test_updates_have_the_effect_of_a_snapshot_of_the_final_list(max_length: int) -> None:
+    """Deltas, restarts, moves and snapshots lead to the same index as a single snapshot of the final list."""
     for seed in range(12):
         rng = random.Random(seed)
         settings = replace(SETTINGS, gateway_index=seed)
@@ -157,7 +159,7 @@
         for _ in range(60):
             host.now_ms += rng.choice([0.0, 3000.0])
             kind = UpdateKind.DELTA if rng.random() < 0.9 else UpdateKind.SNAPSHOT
-            changed = tuple(random_endpoint(rng, host.now_ms) for _ in range(rng.randrange(1, longest)))
+            changed = tuple(random_endpoint(rng, host.now_ms) for _ in range(rng.randrange(1, max_length)))
             host.handle(EndpointUpdate(kind, changed))
         new_host = ScriptedHost((), settings)
         new_host.now_ms = host.now_ms
@@ -169,18 +171,20 @@
 
 
 @pytest.mark.parametrize("kind", [UpdateKind.SNAPSHOT, UpdateKind.CACHED_SNAPSHOT])
-def test_chunks_of_a_snapshot_amount_to_it_and_none_is_long(kind: UpdateKind) -> None:
-    settings = replace(THOUSANDS, watch_required=True)
+def test_chunks_have_the_effect_of_their_snapshot_and_are_short(kind: UpdateKind) -> None:
+    settings = replace(THOUSANDS_OF_GATEWAYS, watch_required=True)
     old = make_endpoints(3000)
     new = (Endpoint("s5", "a", state=EndpointState.DRAINING), *make_endpoints(6000)[500:])
-    whole, chunked = ScriptedHost(old, settings), ScriptedHost(old, settings)
+    whole = ScriptedHost(old, settings)
+    chunked = ScriptedHost(old, settings)
     whole_actions = whole.handle(EndpointUpdate(kind, new))
     known = list(chunked.gateway.load_balancer.endpoints.servers)
-    actions, removing = [], True
+    actions = []
+    removing = True
     for chunk in split_update(EndpointUpdate(kind, new), known):
         assert len(chunk.endpoints) <= 250
         active = [endpoint.state is EndpointState.ACTIVE for endpoint in chunk.endpoints]
-        assert all(active) or (removing and not any(active))  # what drains or is gone comes first
+        assert all(active) or (removing and not any(active))  # removals come first
         removing = removing and not any(active)
         actions += chunked.handle(chunk)
     chunked_index, whole_index = (host.gateway.load_balancer.endpoints for host in (chunked, whole))
--- a/tests/policy/test_gateway.py
+++ b/tests/policy/test_gateway.py
@@ -1,4 +1,4 @@
-"""The life of a request: exactly one final answer, in time, whatever happens."""
+"""The lifecycle of a request: exactly one final answer within the deadline in every case."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 from tests.policy.traffic import HUNDREDS
 
 ROOT = Path(__file__).resolve().parents[2]
-DRAINING = EndpointUpdate(UpdateKind.DELTA, (Endpoint("s0", "a", state=EndpointState.DRAINING),))
-NEW_SERVER = EndpointUpdate(UpdateKind.DELTA, (Endpoint("s9", "a"),))
+S0_DRAINING = EndpointUpdate(UpdateKind.DELTA, (Endpoint("s0", "a", state=EndpointState.DRAINING),))
+S9_STARTED = EndpointUpdate(UpdateKind.DELTA, (Endpoint("s9", "a"),))
 
 
 @pytest.mark.parametrize("time_left_ms", [0.0, -5.0])
@@ -38,7 +38,7 @@
 
 def test_request_without_a_server_is_queued_then_rejected_in_time() -> None:
     host = ScriptedHost(make_endpoints(1))
-    host.handle(DRAINING)
+    host.handle(S0_DRAINING)
     request_id, actions = host.request(time_left_ms=900.0)
     assert not final_answers(actions)
     later = host.advance(900.0)
@@ -47,16 +47,16 @@
 
 def test_queued_request_goes_to_a_server_that_comes_up() -> None:
     host = ScriptedHost(make_endpoints(1))
-    host.handle(DRAINING)
+    host.handle(S0_DRAINING)
     request_id, _ = host.request()
-    started = of_type(host.handle(NEW_SERVER), StartAttempt)
+    started = of_type(host.handle(S9_STARTED), StartAttempt)
     assert [(attempt.request_id, attempt.server_id) for attempt in started] == [(request_id, "s9")]
 
 
 def test_queued_request_is_not_sent_to_a_draining_server() -> None:
     host = ScriptedHost(make_endpoints(1))
     request_id, _ = host.request()
-    host.handle(DRAINING)
+    host.handle(S0_DRAINING)
     actions = host.complete(request_id, 0, CallOutcome.REJECTED, 5.0) + host.advance(3000.0)
     assert not of_type(actions, StartAttempt)
     assert len(final_answers(actions)) == 1
@@ -86,7 +86,8 @@
 def test_one_final_answer_whatever_the_outcomes(class_name: str, outcome: CallOutcome) -> None:
     host = ScriptedHost(make_endpoints(6))
     request_id, actions = host.request(class_name)
-    attempts, answers = 0, final_answers(actions)
+    attempts = 0
+    answers = final_answers(actions)
     while not answers and attempts < 20:
         host.now_ms += 10.0
         actions = host.complete(request_id, attempts, outcome, 10.0)
@@ -183,13 +184,14 @@
     ]
 
 
-SCRIPT = """
+REPLAY_SCRIPT = """
 from quota_gateway.policy_api.events import CallOutcome
 from tests.policy.scripted_host import ScriptedHost, make_endpoints
 host = ScriptedHost(make_endpoints(7, "abc"), seed=5)
 host.warm_up(2.0)
 for i in range(200):
-    class_name, plan = ("read", "order", "bid", "charge")[i % 4], ("rate", "hard", "open")[i % 3]
+    class_name = ("read", "order", "bid", "charge")[i % 4]
+    plan = ("rate", "hard", "open")[i % 3]
     request_id, _ = host.request(class_name, plan, f"c{i % 9}")
     if request_id in host.attempts:
         outcomes = CallOutcome.OK, CallOutcome.REJECTED, CallOutcome.TIMEOUT, CallOutcome.ERROR
@@ -203,14 +205,14 @@
 def test_same_events_and_seed_give_the_same_actions_in_any_process() -> None:
     actions = [
         subprocess.run(
-            [sys.executable, "-c", SCRIPT],
+            [sys.executable, "-c", REPLAY_SCRIPT],
             cwd=ROOT,
-            env={"PYTHONHASHSEED": seed, "PYTHONPATH": str(ROOT)},
+            env={"PYTHONHASHSEED": hash_seed, "PYTHONPATH": str(ROOT)},
             capture_output=True,
             text=True,
             check=True,
         ).stdout
-        for seed in ("0", "1", "12345")
+        for hash_seed in ("0", "1", "12345")
     ]
     assert len(actions[0]) > 1000
     assert actions[0] == actions[1] == actions[2]
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -1,4 +1,4 @@
-"""The choice of the server for an attempt."""
+"""Load balancing: the choice of the server for an attempt."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from quota_gateway.policy_api.endpoints import Endpoint, EndpointUpdate, UpdateKind
 from quota_gateway.policy_api.events import AttemptCompleted, CallOutcome
 from tests.policy.scripted_host import SETTINGS, ScriptedHost, final_answers, make_endpoints, of_type
-from tests.policy.traffic import FORTY, THOUSANDS, serve_at_mean_pace, share_of_first_attempts
+from tests.policy.traffic import FORTY, THOUSANDS_OF_GATEWAYS, serve_at_mean_pace, share_of_first_attempts
 
 
 @pytest.mark.parametrize(
@@ -23,13 +23,13 @@
     assert share_of_first_attempts(host, "s0", 200, outcome, duration_ms) < 0.1
 
 
-def test_slow_server_gets_less() -> None:
+def test_slow_server_gets_fewer_requests() -> None:
     host = ScriptedHost(make_endpoints(5))
     host.warm_up()
     assert share_of_first_attempts(host, "s0", 300, CallOutcome.OK, 200.0) < 0.12
 
 
-def test_unresponsive_server_gets_no_more_before_any_time_out() -> None:
+def test_unresponsive_server_gets_no_more_requests_even_before_a_timeout() -> None:
     host = ScriptedHost(make_endpoints(5))
     host.warm_up()
     unanswered = 0
@@ -47,10 +47,10 @@
     host = ScriptedHost(make_endpoints(2))
     host.warm_up()
     request_id, _ = host.request()
-    busy = host.attempts[request_id][0]
-    host.handle(AttemptCompleted(request_id, 0, busy, CallOutcome.OK, 20.0, True, queue_length=40.0))
+    busy_id = host.attempts[request_id][0]
+    host.handle(AttemptCompleted(request_id, 0, busy_id, CallOutcome.OK, 20.0, True, queue_length=40.0))
     request_ids = [host.request()[0] for _ in range(3)]
-    assert all(host.attempts[request_id][0] != busy for request_id in request_ids)
+    assert all(host.attempts[request_id][0] != busy_id for request_id in request_ids)
 
 
 # --- affinity of keyed requests ------------------------------------------------------------------------
@@ -60,11 +60,11 @@
     for seed in range(20):
         host = ScriptedHost(make_endpoints(6, "abc"), seed=seed)
         request_id, _ = host.request("bid")
-        first = host.attempts[request_id][0]
+        first_id = host.attempts[request_id][0]
         host.now_ms += 100.0
         host.complete(request_id, 0, CallOutcome.TIMEOUT, 100.0)
         zones = {int(server_id[1:]) % 3 for server_id in host.attempts[request_id]}
-        assert zones == {int(first[1:]) % 3}
+        assert zones == {int(first_id[1:]) % 3}
         assert len(host.attempts[request_id]) == 2
 
 
@@ -78,9 +78,10 @@
 
 
 def test_retry_bound_to_a_zone_finds_it_outside_the_subset() -> None:
-    # Of two zones the subset may hold none of one; an index by zone and cell finds them without a scan.
+    # The subset may hold no server of the zone that a retry is bound to. The index by zone and cell finds one
+    # without a scan of the list.
     servers = tuple(Endpoint(f"s{i}", "b" if i < 3 else "a", i) for i in range(400))
-    tried = 0
+    retry_count = 0
     for seed in range(30):
         host = ScriptedHost(servers, replace(SETTINGS, gateway_index=seed), seed=seed)
         endpoints = host.gateway.load_balancer.endpoints
@@ -88,21 +89,23 @@
             server.in_flight = 99
         if any(server.endpoint.zone == "b" for server in endpoints.subset.values()):
             continue
-        first = next(server for server in endpoints.servers.values() if server.endpoint.zone == "b")
+        first_server = next(server for server in endpoints.servers.values() if server.endpoint.zone == "b")
         request_id, _ = host.request("bid")
         pending = host.gateway.pending[request_id]
-        pending.may_have_run_on, pending.may_have_run_at_ms = first.endpoint, host.now_ms
+        pending.may_have_run_on = first_server.endpoint
+        pending.may_have_run_at_ms = host.now_ms
         host.complete(request_id, 0, CallOutcome.TIMEOUT, 100.0)
         assert endpoints.servers[host.attempts[request_id][1]].endpoint.zone == "b"
-        tried += 1
-    assert tried > 10
+        retry_count += 1
+    assert retry_count > 10
 
 
 # --- subset and remaining endpoints --------------------------------------------------------------------
 
 
-def test_calm_gateway_connects_to_its_subset_alone() -> None:
-    # It met each of sixty servers seldom and opened a connection to nearly all of them.
+def test_gateway_with_little_load_uses_only_its_subset() -> None:
+    # Without a subset, a gateway with little load spreads its requests over nearly all sixty servers and
+    # opens a connection to each of them.
     host = ScriptedHost(make_endpoints(60), FORTY)
     server_ids = serve_at_mean_pace(host, 300)
     assert len(set(server_ids)) <= 20
@@ -117,13 +120,14 @@
     assert host.attempts[request_id][0] not in subset
 
 
-def test_remaining_endpoints_are_sampled_without_failing_ones() -> None:
-    host = ScriptedHost(make_endpoints(200), THOUSANDS)
+def test_failing_servers_in_a_sample_of_remaining_endpoints_are_avoided() -> None:
+    host = ScriptedHost(make_endpoints(200), THOUSANDS_OF_GATEWAYS)
     host.warm_up()
     endpoints = host.gateway.load_balancer.endpoints
     failing = [server for server in endpoints.servers.values() if not server.in_subset][::3]
     for server in failing:
-        server.failure_score, server.failure_scored_at_ms = 0.9, host.now_ms
+        server.failure_score = 0.9
+        server.failure_scored_at_ms = host.now_ms
     for server in endpoints.subset.values():
         server.in_flight = 99
     server_ids = []
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries: nothing takes effect twice, and a busy fleet is not buried in further attempts."""
+"""Retries: no request takes effect twice, and retries do not overload a busy fleet."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     assert retries[0].server_id != host.attempts[request_id][0]
 
 
-def test_non_idempotent_request_is_rejected_only_if_no_attempt_ran() -> None:
+def test_non_idempotent_request_is_not_rejected_if_an_attempt_may_have_run() -> None:
     host = ScriptedHost(make_endpoints(4))
     request_id, _ = host.request("charge")
     host.complete(request_id, 0, CallOutcome.REJECTED, 5.0)
@@ -65,43 +65,43 @@
     assert [type(answer) for answer in final_answers(actions)] == [Fail]
 
 
-def test_retries_are_kept_to_a_budget() -> None:
+def test_retries_stay_within_the_budget() -> None:
     host = ScriptedHost(make_endpoints(6))
     attempts = 0
     for _ in range(100):
         request_id, actions = host.request("read")
         while of_type(actions, StartAttempt) and not final_answers(actions):
-            last = len(host.attempts[request_id]) - 1
-            actions = host.complete(request_id, last, CallOutcome.REJECTED, 1.0)
+            last_attempt = len(host.attempts[request_id]) - 1
+            actions = host.complete(request_id, last_attempt, CallOutcome.REJECTED, 1.0)
         attempts += len(host.attempts.get(request_id, []))
         host.advance(10.0)
     assert attempts <= 100 * 1.3 + 10
 
 
-# --- time-outs -----------------------------------------------------------------------------------------
+# --- timeouts ------------------------------------------------------------------------------------------
 
 
-def test_time_outs_lengthen_the_next_ones() -> None:
+def test_timeouts_lengthen_later_timeouts() -> None:
     host = ScriptedHost(make_endpoints(4))
     host.warm_up()
-    first = of_type(host.request()[1], StartAttempt)[0].timeout_ms
+    first_timeout_ms = of_type(host.request()[1], StartAttempt)[0].timeout_ms
     for _ in range(60):
         request_id, actions = host.request()
         while of_type(actions, StartAttempt) and not final_answers(actions):
             host.now_ms += 20.0
-            last = len(host.attempts[request_id]) - 1
-            actions = host.complete(request_id, last, CallOutcome.TIMEOUT, 500.0)
+            last_attempt = len(host.attempts[request_id]) - 1
+            actions = host.complete(request_id, last_attempt, CallOutcome.TIMEOUT, 500.0)
         host.advance(20.0)
     host.advance(9000.0)
     attempts = [attempt for _ in range(3) for attempt in of_type(host.request()[1], StartAttempt)]
-    assert first > 0
+    assert first_timeout_ms > 0
     assert attempts
-    assert all(attempt.timeout_ms == 0 or attempt.timeout_ms > first for attempt in attempts)
+    assert all(attempt.timeout_ms == 0 or attempt.timeout_ms > first_timeout_ms for attempt in attempts)
 
 
-def test_time_outs_lengthen_with_the_latency_of_other_kinds() -> None:
-    # One of hundreds of gateways learns the mean of each kind over half a minute; by the means alone its
-    # time-outs stayed short, and the retries buried the fleet.
+def test_timeouts_lengthen_with_the_latency_of_other_kinds_of_requests() -> None:
+    # One of hundreds of gateways needs half a minute to learn the mean of each kind of request. With timeouts
+    # derived from the means alone, they stay too short under rising load, and retries overload the fleet.
     host = ScriptedHost(make_endpoints(60), HUNDREDS)
     for i in range(12):
         request_id, actions = host.request(class_name="order", customer=f"c{i}", time_left_ms=4000.0)
