--- a/quota_gateway/policy/endpoints.py
+++ b/quota_gateway/policy/endpoints.py
@@ -60,7 +60,7 @@
     def __init__(self, rules: SlowStartSettings) -> None:
         self.groups: dict[GroupKey, SampledSet] = {}
         self._rules = rules
-        self._warming: list[WarmingServer] = []  # a heap, the next to be warm first
+        self._warming: list[WarmingServer] = []  # a heap; the server that becomes warm first comes first
 
     def add(self, now_ms: float, server: Server) -> None:
         """Add a server if it is warm; otherwise schedule it for `add_warmed`."""
--- a/quota_gateway/policy/load_balancing.py
+++ b/quota_gateway/policy/load_balancing.py
@@ -27,12 +27,12 @@
 REPORTED_QUEUE_WEIGHT = 0.5
 # Weight of the configured cross-zone price in the cost factor of servers in other zones.
 CROSS_ZONE_WEIGHT = 10.0
-# Cost factor of a warming server with an open slow-start slot, which puts it before similar warm ones.
+# Cost factor of a warming server with an open slow-start slot: it is preferred to similar warm servers.
 WARMING_COST_FACTOR = 0.8
 # Range of the random cost factor of warm servers, which breaks ties between servers of similar cost.
 COST_JITTER_MIN = 0.9
 COST_JITTER_MAX = 1.1
-# Time after which a reported queue counts 1/e of its length.
+# Time after which a reported queue counts as 1/e of its length.
 REPORT_DECAY_MS = 1000.0
 # Mean duration of a kind of request before its first response, as a share of the latency objective.
 INITIAL_MEAN_SHARE = 0.15
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -34,7 +34,7 @@
 
 
 def test_three_gateways_together_keep_a_warming_servers_budget() -> None:
-    warming = warm = 0
+    warming_attempts = warm_attempts = 0
     for seed in range(3):
         host = ScriptedHost(make_endpoints(4), replace(SETTINGS, gateway_count=3), seed=seed)
         host.warm_up()
@@ -43,51 +43,51 @@
             request_id, actions = host.request()
             if of_type(actions, StartAttempt):
                 to_warming = host.attempts[request_id][0] == WARMING
-                warming += to_warming
-                warm += not to_warming
+                warming_attempts += to_warming
+                warm_attempts += not to_warming
                 host.now_ms += 5.0
                 host.complete(request_id, 0, CallOutcome.OK)
             host.now_ms += 5.0
     # The server starts at a quarter of its capacity and fails above twice that, so it may get at most half
     # the requests of a warm server.
-    assert warm > 200
-    assert warming <= 0.5 * warm / 4
+    assert warm_attempts > 200
+    assert warming_attempts <= 0.5 * warm_attempts / 4
 
 
 @pytest.mark.parametrize("servers", [4, 12])
 def test_forty_gateways_together_do_not_overload_a_warming_server(servers: int) -> None:
     """The warm servers work at full capacity while the warming server has its initial capacity."""
-    warming = warm = 0
+    warming_attempts = warm_attempts = 0
     for seed in range(FORTY.gateway_count):
         host = ScriptedHost(make_endpoints(servers), FORTY, seed=seed)
         host.warm_up()
         start_servers(host, WARMING)
         server_ids = serve_at_mean_pace(host, 10, 100.0)  # one second: its capacity changes little
-        warming += server_ids.count(WARMING)
-        warm += len(server_ids) - server_ids.count(WARMING)
+        warming_attempts += server_ids.count(WARMING)
+        warm_attempts += len(server_ids) - server_ids.count(WARMING)
     rules = FORTY.slow_start
-    overload_requests = rules.overload_factor * (rules.initial_capacity_share + 0.1) * warm / servers
-    assert warming <= 0.8 * overload_requests
+    overload_requests = rules.overload_factor * (rules.initial_capacity_share + 0.1) * warm_attempts / servers
+    assert warming_attempts <= 0.8 * overload_requests
 
 
 @pytest.mark.parametrize("restarted", [False, True])
 def test_first_slots_of_sixty_gateways_do_not_coincide(restarted: bool) -> None:
     """If the first slot of each gateway is open from the start, all gateways send a request at once."""
     settings = replace(SETTINGS, gateway_count=60)
-    warming = Endpoint(WARMING, "a", started_ms=1000.0)
-    total = 0
+    warming_endpoint = Endpoint(WARMING, "a", started_ms=1000.0)
+    warming_attempts = 0
     for seed in range(settings.gateway_count):
-        servers = (*make_endpoints(2), warming) if restarted else make_endpoints(2)
+        servers = (*make_endpoints(2), warming_endpoint) if restarted else make_endpoints(2)
         host = ScriptedHost(servers, settings, seed=seed)
         if not restarted:
-            host.handle(EndpointUpdate(UpdateKind.DELTA, (warming,)))
+            host.handle(EndpointUpdate(UpdateKind.DELTA, (warming_endpoint,)))
         for server_id, server in host.gateway.load_balancer.endpoints.servers.items():
             server.in_flight += 0 if server_id == WARMING else 16  # keeps the warm servers busy
         _, actions = host.request()
-        total += sum(attempt.server_id == WARMING for attempt in of_type(actions, StartAttempt))
+        warming_attempts += sum(attempt.server_id == WARMING for attempt in of_type(actions, StartAttempt))
     # A server that completes ten requests a second when warm starts at a quarter of that rate. It fails above
     # twice its present rate over a second, that is above five requests.
-    assert total <= 5
+    assert warming_attempts <= 5
 
 
 def test_new_gateway_sends_few_requests_to_a_fleet_that_is_warming_up() -> None:
@@ -209,7 +209,7 @@
 
     Fewer gateways send to the server than without subsets, so the sum of their rates stays the same.
     """
-    warming = warm = senders = 0
+    warming_attempts = warm_attempts = senders = 0
     for index in range(40):
         host = ScriptedHost(make_endpoints(59), replace(FORTY, gateway_index=index), seed=index)
         serve_at_mean_pace(host, 60)
@@ -217,10 +217,10 @@
         host.advance(10.0)
         server_ids = serve_at_mean_pace(host, 40)  # two seconds
         senders += WARMING in server_ids
-        warming += server_ids.count(WARMING)
-        warm += len(server_ids) - server_ids.count(WARMING)
-    per_warm_server = warm / 59
-    assert 1 <= warming <= 0.6 * per_warm_server
+        warming_attempts += server_ids.count(WARMING)
+        warm_attempts += len(server_ids) - server_ids.count(WARMING)
+    per_warm_server = warm_attempts / 59
+    assert 1 <= warming_attempts <= 0.6 * per_warm_server
     assert senders <= 20
 
 
@@ -248,7 +248,7 @@
         "lull mixed",
         "huge",
         "gateway",
-        "beside 2",
+        "2 warm servers",
     ],
 )
 def test_gateways_together_keep_a_warming_servers_budget(
