--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -47,8 +47,8 @@
         self.load_balancer = LoadBalancer(settings, self.rng)
         self.retries = RetryPolicy(settings, self.load_balancer)
         self.capacity = CapacityEstimator()
-        self.pending: dict[str, PendingRequest] = {}  # by request id
-        self.attempts: dict[tuple[str, int], Attempt] = {}  # in flight, by request id and attempt number
+        self.pending: dict[str, PendingRequest] = {}  # requests without a final answer, by id
+        self.attempts: dict[tuple[str, int], Attempt] = {}  # attempts in flight, by request id and number
         self.queued: list[str] = []  # ids of the requests that wait for a server
         # Requests whose client left before the counter replied, by request id.
         self.abandoned: dict[str, PendingRequest] = {}
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -47,7 +47,7 @@
         self._min_ms_per_unit = 0.0
         # Quota units per second that one warm server answers to this gateway, without the last response.
         self.warm_rate = 0.0
-        self._next_warm_rate = 0.0  # the same rate at the last response, including it
+        self._next_warm_rate = 0.0  # rate at the last response, including that response
         self._last_response_ms = 0.0  # Unix time of the last response
 
     def attempt_started(self, now_ms: float, server: Server, units: float) -> None:
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -100,8 +100,8 @@
 
 
 def test_timeouts_lengthen_with_the_latency_of_other_kinds_of_requests() -> None:
-    # One of hundreds of gateways needs half a minute to learn the mean of each kind of request. With timeouts
-    # derived from the means alone, they stay too short under rising load, and retries overload the fleet.
+    # One of hundreds of gateways needs half a minute to learn the mean of each kind of request. Timeouts
+    # derived from the means alone stay too short while the latency rises, and the retries overload the fleet.
     host = ScriptedHost(make_endpoints(60), HUNDREDS)
     for i in range(12):
         request_id, actions = host.request(class_name="order", customer=f"c{i}", time_left_ms=4000.0)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -34,7 +34,8 @@
 
 
 def test_three_gateways_together_keep_a_warming_servers_budget() -> None:
-    warming_attempts = warm_attempts = 0
+    warming_attempts = 0
+    warm_attempts = 0
     for seed in range(3):
         host = ScriptedHost(make_endpoints(4), replace(SETTINGS, gateway_count=3), seed=seed)
         host.warm_up()
@@ -57,7 +58,8 @@
 @pytest.mark.parametrize("servers", [4, 12])
 def test_forty_gateways_together_do_not_overload_a_warming_server(servers: int) -> None:
     """The warm servers work at full capacity while the warming server has its initial capacity."""
-    warming_attempts = warm_attempts = 0
+    warming_attempts = 0
+    warm_attempts = 0
     for seed in range(FORTY.gateway_count):
         host = ScriptedHost(make_endpoints(servers), FORTY, seed=seed)
         host.warm_up()
@@ -137,7 +139,7 @@
         host = ScriptedHost(make_endpoints(4), FORTY)
         start_servers(host, *(f"{WARMING}{i}" for i in range(count)))
         balancer = host.gateway.load_balancer
-        for i in range(40):  # the same responses of warm servers in both cases
+        for i in range(40):  # warm servers answer the same requests in both cases
             pending = PendingRequest(f"r{i}", 1.0, FORTY.classes[0], None, host.now_ms, host.now_ms + 1000.0)
             attempt = Attempt(pending, Endpoint(f"s{i % 4}", "a"), host.now_ms, work_ms=20.0)
             completed = AttemptCompleted(f"r{i}", 0, f"s{i % 4}", CallOutcome.OK, 20.0, True)
@@ -209,7 +211,9 @@
 
     Fewer gateways send to the server than without subsets, so the sum of their rates stays the same.
     """
-    warming_attempts = warm_attempts = senders = 0
+    warming_attempts = 0
+    warm_attempts = 0
+    senders = 0
     for index in range(40):
         host = ScriptedHost(make_endpoints(59), replace(FORTY, gateway_index=index), seed=index)
         serve_at_mean_pace(host, 60)
