--- a/quota_gateway/lab/scaling/capacity.py
+++ b/quota_gateway/lab/scaling/capacity.py
@@ -1,8 +1,9 @@
-"""Capacity: what each role needs at a size, worked out from measured slopes.
+"""Capacity page: the resources that each role needs at a fleet size, calculated from measured slopes.
 
-A figure is a slope (`quota-gateway lab slopes`) times a count of the size file, or a count alone. Beside it
-stand the limit, how often the figure fits into it, and the mechanism that provides it; "missing" where none
-does. Nothing is measured here, so that a page can be made anew from the same slopes.
+Each figure is a measured slope (`quota-gateway lab slopes`) times a count of the fleet plan, or a count
+alone. A line states the figure, its limit, the limit divided by the figure, and the mechanism that keeps the
+figure within the limit ("missing" if there is none). Nothing is measured here, so the same slopes always give
+the same page.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
     """Return all lines of the capacity page.
 
     Raises:
-        SlopesFileError: a slope that is needed was not measured.
+        SlopesFileError: the file lacks a slope that a line needs.
     """
     load = FleetLoad(plan, slopes)
     return [
@@ -40,7 +41,7 @@
 
 
 def markdown(lines: Sequence[Requirement]) -> str:
-    """Return the page's table."""
+    """Return the lines as a Markdown table."""
     rows = [_markdown_row(COLUMNS), _markdown_row(["---"] * len(COLUMNS))]
     for line in lines:
         limit = "" if line.limit is None else f"{_three_digits(line.limit)} {line.unit}"
@@ -51,7 +52,7 @@
 
 
 def report(plan: FleetPlan, slopes: MeasuredSlopes, lines: Sequence[Requirement]) -> dict[str, Any]:
-    """Return the page for a result file."""
+    """Return the capacity page as data for a result file."""
     return {
         "size": msgspec.to_builtins(plan),
         "machine": slopes.machine,
@@ -75,5 +76,5 @@
 
 
 def _three_digits(value: float) -> str:
-    """Return a number with three significant digits."""
+    """Format a number with three significant digits, or as a whole number from 1,000 up."""
     return f"{value:,.0f}" if value >= 1000.0 else f"{value:.3g}"
--- a/quota_gateway/lab/scaling/control_plane_requirements.py
+++ b/quota_gateway/lab/scaling/control_plane_requirements.py
@@ -1,4 +1,7 @@
-"""What the counter, discovery and the distribution of changes need."""
+"""Requirements of the control plane: counter, discovery, endpoint changes and configuration changes.
+
+`what` and `mechanism` of each requirement are stored in result files.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +16,9 @@
 
 
 def counter(load: FleetLoad) -> list[Requirement]:
-    """Return the calls to the counter."""
-    size, limits = load.plan.size, load.plan.limits
+    """Return the rate of counter calls, for one gateway and for all, and the bytes of a gateway's calls."""
+    size = load.plan.size
+    limits = load.plan.limits
     call_bytes = load.slopes.at(SlopeName.COUNTER_CALL_BYTES, 1)
     call_bytes += load.slopes.at(SlopeName.COUNTER_REPLY_BYTES, 1) + ROUND_TRIP_HEADER_BYTES
     return [
@@ -46,14 +50,15 @@
 
 
 def discovery(load: FleetLoad) -> list[Requirement]:
-    """Return what watches on the endpoint list cost, and a snapshot of it."""
+    """Return the costs of watching the endpoint list and of receiving a snapshot of it."""
     return [*_watches(load), *_snapshots(load)]
 
 
 def _watches(load: FleetLoad) -> list[Requirement]:
-    size, limits = load.plan.size, load.plan.limits
-    idle = load.slopes.at(SlopeName.IDLE_WATCH_BYTES, 1) + ROUND_TRIP_HEADER_BYTES / LONG_POLL_S
-    in_release = idle + load.change_bytes(load.release_changes_per_s)
+    size = load.plan.size
+    limits = load.plan.limits
+    idle_bytes_per_s = load.slopes.at(SlopeName.IDLE_WATCH_BYTES, 1) + ROUND_TRIP_HEADER_BYTES / LONG_POLL_S
+    release_bytes_per_s = idle_bytes_per_s + load.change_bytes(load.release_changes_per_s)
     return [
         Requirement(
             DISCOVERY,
@@ -63,11 +68,18 @@
             None,
             "long polls by one agent a machine",
         ),
-        Requirement(GATEWAY, "bytes of an idle watch", idle, "B/s", limits.control_bytes_per_s, "the same"),
+        Requirement(
+            GATEWAY,
+            "bytes of an idle watch",
+            idle_bytes_per_s,
+            "B/s",
+            limits.control_bytes_per_s,
+            "the same",
+        ),
         Requirement(
             GATEWAY,
             "bytes of a watch during a release",
-            in_release,
+            release_bytes_per_s,
             "B/s",
             limits.control_bytes_per_s,
             "deltas from the version held",
@@ -75,7 +87,7 @@
         Requirement(
             DISCOVERY,
             "bytes of all watches during a release",
-            in_release * size.gateways / 1e6,
+            release_bytes_per_s * size.gateways / 1e6,
             "MB/s",
             None,
             "one agent a machine; the service sends each change once a machine",
@@ -84,9 +96,12 @@
 
 
 def _snapshots(load: FleetLoad) -> list[Requirement]:
-    limits, at, servers = load.plan.limits, load.slopes.at, load.plan.size.servers
-    snapshot_bytes = at(SlopeName.SNAPSHOT_BYTES, servers)
-    processor_ms = at(SlopeName.SNAPSHOT_PARSED, servers) + at(SlopeName.FIRST_LIST_HANDLED, servers)
+    limits = load.plan.limits
+    slopes = load.slopes
+    servers = load.plan.size.servers
+    snapshot_bytes = slopes.at(SlopeName.SNAPSHOT_BYTES, servers)
+    parsing_ms = slopes.at(SlopeName.SNAPSHOT_PARSED, servers)
+    handling_ms = slopes.at(SlopeName.FIRST_LIST_HANDLED, servers)
     return [
         Requirement(
             GATEWAY,
@@ -107,7 +122,7 @@
         Requirement(
             GATEWAY,
             "a first snapshot, processor time",
-            processor_ms,
+            parsing_ms + handling_ms,
             "ms",
             None,
             "parsed and handled 250 servers at a time",
@@ -116,12 +131,13 @@
 
 
 def failures(load: FleetLoad) -> list[Requirement]:
-    """Return what the loss of a failure domain, and the restarts of a day, add."""
+    """Return the costs of losing a failure domain and of the restarts and failures of an ordinary day."""
     return [*_lost_domains(load), *_ordinary_day(load)]
 
 
 def _lost_domains(load: FleetLoad) -> list[Requirement]:
-    size, limits = load.plan.size, load.plan.limits
+    size = load.plan.size
+    limits = load.plan.limits
     servers_lost = {
         "rack": float(size.servers_in_a_rack),
         "zone": size.servers / size.zones,
@@ -129,7 +145,7 @@
     }
     requirements = []
     for domain, servers in servers_lost.items():
-        # One delta holds all changes.
+        # One delta carries all changes, so the header bytes are counted once.
         delta_bytes = load.change_bytes(1) + (servers - 1) * load.slopes.per_unit(SlopeName.UPDATE_BYTES)
         fits = delta_bytes < limits.in_force_s * limits.control_bytes_per_s
         requirements.append(
@@ -169,7 +185,7 @@
 
 
 def configuration(load: FleetLoad) -> list[Requirement]:
-    """Return the changes of configuration."""
+    """Return the rate of configuration changes."""
     return [
         Requirement(
             GATEWAY,
--- a/quota_gateway/lab/scaling/fleet_load.py
+++ b/quota_gateway/lab/scaling/fleet_load.py
@@ -1,4 +1,4 @@
-"""Rates and costs of one gateway that several lines of the capacity page share."""
+"""Rates and costs of one gateway that several requirements are calculated from."""
 
 from __future__ import annotations
 
@@ -10,66 +10,69 @@
 from quota_gateway.policy.quota import CUSTOMER_IDLE_MS
 
 SECONDS_PER_DAY = 86_400.0
-HEADER_BYTES = 52  # IP and TCP headers of a small message, with time stamps: RFC 791, 9293, 7323
-ROUND_TRIP_HEADER_BYTES = 2 * HEADER_BYTES  # a call and its answer, each acknowledged by what comes next
-CHANGES_PER_REPLACEMENT = 3  # a server that is replaced drains, is gone, and its successor comes
+HEADER_BYTES = 52  # IPv4 and TCP headers with the timestamps option: RFC 791, 9293, 7323
+ROUND_TRIP_HEADER_BYTES = 2 * HEADER_BYTES  # one call and one reply; acknowledgements are piggybacked
+CHANGES_PER_REPLACEMENT = 3  # the old server drains, then is gone; the new server becomes active
 
 
 @dataclass(frozen=True, slots=True)
 class FleetLoad:
-    """A fleet plan with the slopes that its figures are worked out from."""
+    """A fleet plan, and the measured slopes that its requirements are calculated from."""
 
     plan: FleetPlan
     slopes: MeasuredSlopes
 
     @property
     def requests_per_s(self) -> float:
-        """Requests a second of one gateway."""
+        """Requests per second of one gateway, spread evenly over the fleet."""
         return self.plan.size.requests_per_s / self.plan.size.gateways
 
     @property
     def known_customers(self) -> float:
-        """Customers that one gateway keeps a record of."""
+        """Largest number of customers that one gateway holds records of.
+
+        A record is dropped after `CUSTOMER_IDLE_MS`, so each request in that time adds one record at most.
+        """
         return min(self.plan.size.tenants, self.requests_per_s * CUSTOMER_IDLE_MS / 1000.0)
 
     @property
     def counter_calls_wanted(self) -> float:
-        """Calls a second to the counter that one gateway would make."""
+        """Counter calls per second that one gateway would make without a limit."""
         return self.requests_per_s * self.plan.counter.calls_per_request
 
     @property
     def counter_calls_available(self) -> float:
-        """Calls a second that the counter takes of one gateway."""
-        all_calls = self.plan.counter.calls_per_machine_s * self.plan.limits.control_machines
-        return all_calls / self.plan.size.gateways
+        """Counter calls per second that one gateway may make: the counter's capacity, divided evenly."""
+        counter_capacity = self.plan.counter.calls_per_machine_s * self.plan.limits.control_machines
+        return counter_capacity / self.plan.size.gateways
 
     @property
     def counter_calls(self) -> float:
-        """Calls a second that one gateway makes."""
+        """Counter calls per second that one gateway makes."""
         return min(self.counter_calls_wanted, self.counter_calls_available)
 
     @property
     def control_ms_per_s(self) -> float:
-        """Processor time, ms a second, that a gateway may spend on what no request asks for."""
+        """Processor time, ms per second, that a gateway may spend on control work (all but requests)."""
         return 1000.0 * self.plan.limits.control_core_share
 
     @property
     def release_changes_per_s(self) -> float:
-        """Changes of the endpoint list a second during a release."""
+        """Endpoint changes per second during a release."""
         size = self.plan.size
         return CHANGES_PER_REPLACEMENT * size.release_share * size.servers / size.release_s
 
     @property
     def daily_changes_per_s(self) -> float:
-        """Changes of the endpoint list a second on an ordinary day."""
+        """Endpoint changes per second on an ordinary day, from restarts and failures."""
         size = self.plan.size
         return (CHANGES_PER_REPLACEMENT * size.restarts_per_day + size.failures_per_day) / SECONDS_PER_DAY
 
     def change_processor_ms(self, changes_per_s: float) -> float:
-        """Return the processor time, ms a second, of so many changes a second."""
-        handled = self.slopes.at(SlopeName.ONE_CHANGE, self.plan.size.servers)
-        return changes_per_s * (handled + self.slopes.per_unit(SlopeName.SNAPSHOT_PARSED))
+        """Return the processor time, ms per second, of parsing and handling endpoint changes at a rate."""
+        handling_ms = self.slopes.at(SlopeName.ONE_CHANGE, self.plan.size.servers)
+        return changes_per_s * (handling_ms + self.slopes.per_unit(SlopeName.SNAPSHOT_PARSED))
 
     def change_bytes(self, changes: float) -> float:
-        """Return the bytes of so many changes, each sent alone."""
+        """Return the bytes of a number of endpoint changes, each sent in a delta of its own."""
         return changes * (self.slopes.at(SlopeName.UPDATE_BYTES, 1) + ROUND_TRIP_HEADER_BYTES)
--- a/quota_gateway/lab/scaling/fleet_plan.py
+++ b/quota_gateway/lab/scaling/fleet_plan.py
@@ -1,4 +1,4 @@
-"""A size file: how large a fleet is to be, and what the operators allow it. Read from TOML."""
+"""Fleet plan: the planned size of a fleet and the resource limits it must keep to, read from a TOML file."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class FleetSize(Table, frozen=True):
-    """How large the fleet is, and how often it changes."""
+    """Number of machines, customers and requests in the fleet, and how often it changes."""
 
     gateways: PositiveInt
     servers: PositiveInt
@@ -22,30 +22,30 @@
     restarts_per_day: PositiveFloat
     failures_per_day: PositiveFloat
     servers_in_a_rack: PositiveInt
-    release_share: Share  # of the servers, replaced in a release
-    release_s: PositiveFloat
+    release_share: Share  # share of the servers that one release replaces
+    release_s: PositiveFloat  # duration of a release
 
 
 class Limits(Table, frozen=True):
-    """What the operators allow, for one gateway where nothing else is said."""
+    """Resource limits. Each applies to one gateway unless stated otherwise."""
 
-    control_core_share: Share  # of a core, for what no request asks for
+    control_core_share: Share  # share of a core for control work: all that is not a request
     memory_mb: PositiveFloat
-    control_bytes_per_s: PositiveFloat
-    control_machines: PositiveInt  # of the counter, for the whole fleet
-    added_ms: PositiveFloat  # processor time for a request
-    in_force_s: PositiveFloat  # until a change is in force
+    control_bytes_per_s: PositiveFloat  # traffic with the counter and discovery
+    control_machines: PositiveInt  # machines of the counter, for the whole fleet
+    added_ms: PositiveFloat  # processor time per request
+    in_force_s: PositiveFloat  # time until all gateways apply a change
 
 
 class CounterCapacity(Table, frozen=True):
-    """The shared counter."""
+    """Capacity of the shared counter, and the demand for it."""
 
     calls_per_machine_s: PositiveFloat
-    calls_per_request: PositiveFloat  # that a gateway would make if all were allowed
+    calls_per_request: PositiveFloat  # calls that a gateway makes per request while calls are not limited
 
 
 class FleetPlan(Table, frozen=True):
-    """All of the file."""
+    """The content of a fleet plan file."""
 
     name: str
     size: FleetSize
@@ -54,7 +54,11 @@
 
 
 def load_fleet_plan(path: Path) -> FleetPlan:
-    """Read and check a size file. Raises ConfigFileError."""
+    """Read and validate a fleet plan file.
+
+    Raises:
+        ConfigFileError: the file can't be read, is not TOML, or its content is invalid.
+    """
     return load_config(path, FleetPlan, _find_problem)
 
 
@@ -67,5 +71,5 @@
     if size.servers < size.zones:
         return Problem("size.servers", f"fewer than the {size.zones} zones")
     if size.servers_in_a_rack > size.servers:
-        return Problem("size.servers_in_a_rack", "more than there are")
+        return Problem("size.servers_in_a_rack", f"more than the {size.servers} servers")
     return None
--- a/quota_gateway/lab/scaling/gateway_requirements.py
+++ b/quota_gateway/lab/scaling/gateway_requirements.py
@@ -1,4 +1,7 @@
-"""What one gateway needs for requests, memory and its own control work."""
+"""Requirements of one gateway: request path, memory and control work.
+
+`what` and `mechanism` of each requirement are stored in result files.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +15,16 @@
 
 
 def request_path(load: FleetLoad) -> list[Requirement]:
-    """Return the work for requests, and a gateway's start."""
-    at, servers, added_ms = load.slopes.at, load.plan.size.servers, load.plan.limits.added_ms
-    parsing = at(SlopeName.CLIENT_COMMAND, 1) + at(SlopeName.SERVER_RESPONSE, 1)
+    """Return the request rate and the processor time of a start, of a decision and of parsing."""
+    slopes = load.slopes
+    servers = load.plan.size.servers
+    added_ms = load.plan.limits.added_ms
+    parsing_ms = slopes.at(SlopeName.CLIENT_COMMAND, 1) + slopes.at(SlopeName.SERVER_RESPONSE, 1)
     return [
         Requirement(
             GATEWAY,
             "start, to the first answer",
-            at(SlopeName.PROCESS_START, servers),
+            slopes.at(SlopeName.PROCESS_START, servers),
             "ms",
             None,
             "the cached endpoint list, handled in steps",
@@ -35,7 +40,7 @@
         Requirement(
             GATEWAY,
             "a decision and its outcome",
-            at(SlopeName.DECISION, servers),
+            slopes.at(SlopeName.DECISION, servers),
             "ms",
             added_ms,
             f"subset of {SUBSET_SIZE}, sample of the index beyond it",
@@ -43,7 +48,7 @@
         Requirement(
             GATEWAY,
             "parsing of a request and its response",
-            parsing,
+            parsing_ms,
             "ms",
             added_ms,
             "hiredis, one event loop",
@@ -52,11 +57,13 @@
 
 
 def memory(load: FleetLoad) -> list[Requirement]:
-    """Return the state of a gateway."""
-    at, limit_mb, servers = load.slopes.at, load.plan.limits.memory_mb, load.plan.size.servers
-    empty_mb = at(SlopeName.EMPTY_PROCESS, 1) / 1e6
-    resident_mb = at(SlopeName.PROCESS_RESIDENT, servers) / 1e6
-    customers_mb = at(SlopeName.CUSTOMER_RECORDS, load.known_customers) / 1e6
+    """Return the memory of a gateway's process and of its customer records."""
+    slopes = load.slopes
+    limit_mb = load.plan.limits.memory_mb
+    servers = load.plan.size.servers
+    empty_mb = slopes.at(SlopeName.EMPTY_PROCESS, 1) / 1e6
+    resident_mb = slopes.at(SlopeName.PROCESS_RESIDENT, servers) / 1e6
+    customers_mb = slopes.at(SlopeName.CUSTOMER_RECORDS, load.known_customers) / 1e6
     return [
         Requirement(GATEWAY, "process, empty", empty_mb, "MB", limit_mb, "few libraries, none of the lab"),
         Requirement(
@@ -87,37 +94,45 @@
 
 
 def control_work(load: FleetLoad) -> list[Requirement]:
-    """Return the processor time of a gateway that no request asks for."""
-    at, limit = load.slopes.at, load.control_ms_per_s
-    tick_ms = at(SlopeName.TICK, load.plan.size.servers)
-    tick_ms += at(SlopeName.TICK_BY_CUSTOMERS, load.known_customers)
-    ticks = 1000.0 / TICK_MS * tick_ms
-    calls = load.counter_calls * at(SlopeName.COUNTER_CALL, 1)
-    changes = load.change_processor_ms(load.release_changes_per_s)
+    """Return the processor time that a gateway spends on ticks, counter calls and endpoint changes."""
+    slopes = load.slopes
+    limit_ms_per_s = load.control_ms_per_s
+    tick_ms = slopes.at(SlopeName.TICK, load.plan.size.servers)
+    tick_ms += slopes.at(SlopeName.TICK_BY_CUSTOMERS, load.known_customers)
+    ticks_ms_per_s = 1000.0 / TICK_MS * tick_ms
+    calls_ms_per_s = load.counter_calls * slopes.at(SlopeName.COUNTER_CALL, 1)
+    changes_ms_per_s = load.change_processor_ms(load.release_changes_per_s)
     return [
         Requirement(
             GATEWAY,
             "ticks, all customers with unreported usage",
-            ticks,
+            ticks_ms_per_s,
             "ms/s",
-            limit,
+            limit_ms_per_s,
             "only customers that are due, in turn",
         ),
         Requirement(
             GATEWAY,
             "calls to the counter, as many as it takes",
-            calls,
+            calls_ms_per_s,
             "ms/s",
-            limit,
+            limit_ms_per_s,
             "pipelined connections",
         ),
         Requirement(
             GATEWAY,
             "endpoint changes during a release",
-            changes,
+            changes_ms_per_s,
             "ms/s",
-            limit,
+            limit_ms_per_s,
             "work in proportion to the change",
         ),
-        Requirement(GATEWAY, "control work, sum", ticks + calls + changes, "ms/s", limit, "the three above"),
+        Requirement(
+            GATEWAY,
+            "control work, sum",
+            ticks_ms_per_s + calls_ms_per_s + changes_ms_per_s,
+            "ms/s",
+            limit_ms_per_s,
+            "the three above",
+        ),
     ]
--- a/quota_gateway/lab/scaling/requirement.py
+++ b/quota_gateway/lab/scaling/requirement.py
@@ -7,12 +7,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Requirement:
-    """What a role needs, beside its limit and the mechanism that provides it.
+    """One resource that a role needs, its limit, and the mechanism that keeps it within the limit.
 
     Attributes:
-        role: gateway (one of them), counter or discovery.
-        limit: in the same unit; None: there is none.
-        mechanism: begins with "missing" where nothing provides it.
+        role: "gateway" (one gateway), "counter" or "discovery".
+        what: the resource and the situation in which it is needed.
+        value: the amount needed, in `unit`.
+        unit: the unit of `value` and `limit`.
+        limit: the largest amount allowed; None if there is no limit.
+        mechanism: begins with "missing" if no mechanism keeps the value within the limit.
     """
 
     role: str
@@ -24,5 +27,5 @@
 
     @property
     def margin(self) -> float | None:
-        """How many times the figure fits into its limit."""
+        """The limit divided by the value; None without a limit or if the value is 0."""
         return None if self.limit is None or self.value <= 0.0 else self.limit / self.value
--- a/tests/lab/scaling/test_capacity.py
+++ b/tests/lab/scaling/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page: figures are slopes times counts, and bad input is one line with nothing written."""
+"""Tests of the capacity page: its figures and limits, and the rejection of invalid input."""
 
 from __future__ import annotations
 
@@ -17,30 +17,31 @@
 from quota_gateway.lab.scaling.slope_names import SlopeName
 
 ROOT = Path(__file__).resolve().parents[3]
-SIZE = ROOT / "experiments" / "sizes" / "ahead.toml"
+FLEET_PLAN = ROOT / "experiments" / "sizes" / "ahead.toml"
 
 
 def write_slopes(path: Path) -> Path:
-    """Each figure is 1 and a thousandth for each of what it is against."""
+    """Write a slopes file in which each fitted line is 1 + 0.001 * count."""
     rows = [{"name": name, "points": [], "fit": {"intercept": 1.0, "slope": 0.001}} for name in SlopeName]
     machine = {"cpu": "c", "cores": 1, "python": "3", "date": "d", "reference_ms": 1.0, "load_1m": 0.0}
     path.write_text(json.dumps({"machine": machine, "slopes": rows}))
     return path
 
 
-def requirements(path: Path) -> dict[tuple[str, str], Requirement]:
-    lines = capacity.requirements(load_fleet_plan(SIZE), MeasuredSlopes(path))
+def requirements(slopes_path: Path) -> dict[tuple[str, str], Requirement]:
+    """Return the lines of the page by role and resource."""
+    lines = capacity.requirements(load_fleet_plan(FLEET_PLAN), MeasuredSlopes(slopes_path))
     return {(line.role, line.what): line for line in lines}
 
 
 def test_figures_are_slopes_times_counts_beside_their_limits(tmp_path: Path) -> None:
-    found = requirements(write_slopes(tmp_path / "s.json"))
-    assert found["gateway", "requests"].value == pytest.approx(100.0)
-    assert found["gateway", "a decision and its outcome"].value == pytest.approx(21.0)
-    assert found["counter", "calls wanted by all gateways"].value == pytest.approx(268_800.0)
-    zone = found["gateway", "a zone lost (870 servers), notified at the allowed rate"]
-    assert zone.limit == 15.0
-    assert zone.margin == pytest.approx(15.0 / zone.value)
+    lines = requirements(write_slopes(tmp_path / "s.json"))
+    assert lines["gateway", "requests"].value == pytest.approx(100.0)
+    assert lines["gateway", "a decision and its outcome"].value == pytest.approx(21.0)
+    assert lines["counter", "calls wanted by all gateways"].value == pytest.approx(268_800.0)
+    zone_lost = lines["gateway", "a zone lost (870 servers), notified at the allowed rate"]
+    assert zone_lost.limit == 15.0
+    assert zone_lost.margin == pytest.approx(15.0 / zone_lost.value)
 
 
 def test_a_requirement_beyond_its_limit_names_no_mechanism(tmp_path: Path) -> None:
@@ -51,7 +52,7 @@
             assert line.mechanism.startswith("missing")
 
 
-def run(*arguments: str) -> subprocess.CompletedProcess[str]:
+def run_capacity(*arguments: str) -> subprocess.CompletedProcess[str]:
     command = [
         sys.executable,
         "-c",
@@ -64,8 +65,10 @@
 
 
 def bad_inputs(folder: Path) -> list[tuple[Path, Path, str]]:
-    good, text = write_slopes(folder / "s.json"), SIZE.read_text()
-    cases: list[tuple[Path, Path, str]] = [(folder / "none.toml", good, "none.toml")]
+    """Return pairs of a fleet plan and a slopes file, one of them invalid, each with part of the error."""
+    valid_slopes = write_slopes(folder / "s.json")
+    valid_plan = FLEET_PLAN.read_text()
+    cases: list[tuple[Path, Path, str]] = [(folder / "none.toml", valid_slopes, "none.toml")]
     changes: dict[str, Any] = {
         "size.zones": ("zones = 23", "zones = 3"),
         "size.nodes": ("routes = 25000", "nodes = 1"),
@@ -74,26 +77,27 @@
     }
     for key, (old, new) in changes.items():
         path = folder / f"{key}.toml"
-        path.write_text(text.replace(old, new))
-        cases.append((path, good, f": {key}: "))
+        path.write_text(valid_plan.replace(old, new))
+        cases.append((path, valid_slopes, f": {key}: "))
     for name, content in (("no.json", "{"), ("empty.json", "{}")):
         (folder / name).write_text(content)
-        cases.append((SIZE, folder / name, name))
+        cases.append((FLEET_PLAN, folder / name, name))
     return cases
 
 
 def test_bad_input_is_one_line_and_nothing_is_written(tmp_path: Path) -> None:
     for size, measured, expected in bad_inputs(tmp_path):
         out = tmp_path / "out.json"
-        done = run(str(size), str(measured), "--out", str(out))
-        assert (done.returncode, done.stdout, out.exists()) == (2, "", False)
-        assert done.stderr.count("\n") == 1
-        assert expected in done.stderr
+        completed = run_capacity(str(size), str(measured), "--out", str(out))
+        assert (completed.returncode, completed.stdout, out.exists()) == (2, "", False)
+        assert completed.stderr.count("\n") == 1
+        assert expected in completed.stderr
 
 
 def test_the_command_prints_the_table_and_writes_the_result(tmp_path: Path) -> None:
     out = tmp_path / "out.json"
-    done = run(str(SIZE), str(write_slopes(tmp_path / "s.json")), "--out", str(out))
-    assert done.returncode == 0
-    assert "| role | what | figure | limit | fits | provided by |" in done.stdout
-    assert len(json.loads(out.read_text())["lines"]) == done.stdout.count("\n| ") - 2  # its head
+    completed = run_capacity(str(FLEET_PLAN), str(write_slopes(tmp_path / "s.json")), "--out", str(out))
+    assert completed.returncode == 0
+    assert "| role | what | figure | limit | fits | provided by |" in completed.stdout
+    table_rows = completed.stdout.count("\n| ") - 2  # without the header row and the separator row
+    assert len(json.loads(out.read_text())["lines"]) == table_rows
