--- a/quota_gateway/lab/scaling/__init__.py
+++ b/quota_gateway/lab/scaling/__init__.py
@@ -1,1 +1,1 @@
-"""What the real code costs against the sizes it meets, and the capacity page worked out from it."""
+"""Measures the costs of the real code at several sizes, and calculates the capacity page from them."""
--- a/quota_gateway/lab/scaling/list_parsing.py
+++ b/quota_gateway/lab/scaling/list_parsing.py
@@ -1,4 +1,4 @@
-"""Reads an endpoint list as the gateway's network code does, and times its steps."""
+"""Parses an endpoint list as the gateway's network code does, and times the steps."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def parse_list(body: bytes) -> None:
-    """Read a list with all of its steps, as the gateway does."""
+    """Parse a list: a long one in steps, a short one at once, as the gateway does."""
     if len(body) > INCREMENTAL_PARSE_MIN_BYTES:
         parse_step_times_ms(body)
     else:
@@ -22,11 +22,15 @@
 
 
 def parse_step_times_ms(body: bytes) -> list[float]:
-    """Return the processor time of each step of reading a long list; between two, other work is done."""
-    parser, marks = IncrementalListParser(body), [time.process_time()]
+    """Return the processor time, ms, of each step of parsing a long list.
+
+    The gateway serves requests between steps, so the longest step bounds the delay that parsing adds to them.
+    """
+    parser = IncrementalListParser(body)
+    timestamps_s = [time.process_time()]
     for _ in parser.steps():
-        marks.append(time.process_time())
-    marks.append(time.process_time())
+        timestamps_s.append(time.process_time())
+    timestamps_s.append(time.process_time())
     parser.result()
-    marks.append(time.process_time())
-    return [1000.0 * (after - before) for before, after in pairwise(marks)]
+    timestamps_s.append(time.process_time())
+    return [1000.0 * (after - before) for before, after in pairwise(timestamps_s)]
--- a/quota_gateway/lab/scaling/measured_slopes.py
+++ b/quota_gateway/lab/scaling/measured_slopes.py
@@ -1,4 +1,4 @@
-"""Reads the slopes that `quota-gateway lab slopes` wrote."""
+"""Reads result files of `quota-gateway lab slopes`."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 
 
 class SlopesFileError(ValueError):
-    """A file of slopes that can't be used; the text is one line."""
+    """A slopes file that can't be used; the message is one line."""
 
 
 class Fit(msgspec.Struct):
-    """The line fitted to a slope's medians."""
+    """The straight line fitted to the medians of a figure."""
 
     intercept: float
     slope: float
 
 
 class Point(msgspec.Struct):
-    """The median at one count."""
+    """The median measured at one count."""
 
     count: float
     median: float
 
 
 class MeasuredSlope(msgspec.Struct):
-    """One figure of a run."""
+    """One figure of a run, with its points and its fitted line."""
 
     name: str
     points: list[Point]
     fit: Fit
 
     def at(self, count: float) -> float:
-        """Return the median measured at a count, else the value of the fitted line."""
+        """Return the median at a count if it was measured there, else the value of the fitted line."""
         for point in self.points:
             if point.count == count:
                 return point.median
@@ -45,23 +45,27 @@
 
 
 class SlopesRun(msgspec.Struct):
-    """One result of `quota-gateway lab slopes`."""
+    """The result of one run of `quota-gateway lab slopes`."""
 
     machine: dict[str, Any]
     slopes: list[MeasuredSlope]
 
 
 class SlopesRuns(msgspec.Struct):
-    """Several results that were put into one file."""
+    """The results of several runs, merged into one file."""
 
     runs: list[SlopesRun]
 
 
 class MeasuredSlopes:
-    """Measured slopes by name, over all runs of a file: ms of processor time, or bytes.
+    """The figures of all runs in a file, by name. Each value is the median over the runs.
 
     Attributes:
-        machine: what the last run was measured on.
+        path: the file.
+        machine: description of the machine of the last run.
+
+    Raises:
+        SlopesFileError: the file can't be read or is not a result of `quota-gateway lab slopes`.
     """
 
     def __init__(self, path: Path) -> None:
@@ -71,25 +75,25 @@
         self._runs = [{slope.name: slope for slope in run.slopes} for run in runs]
 
     def at(self, name: SlopeName, count: float) -> float:
-        """Return the figure at a count, measured or by the fitted line; the median of all runs.
+        """Return a figure at a count, as measured or else from the fitted line, but at least 0.
 
         Raises:
-            SlopesFileError: no run has it.
+            SlopesFileError: no run has the figure.
         """
         return max(0.0, float(statistics.median(slope.at(count) for slope in self._find(name))))
 
     def per_unit(self, name: SlopeName) -> float:
-        """Return what one more of its count adds, by the fitted line; the median of all runs.
+        """Return the increase of a figure per unit of its count, from the fitted line, but at least 0.
 
         Raises:
-            SlopesFileError: no run has it.
+            SlopesFileError: no run has the figure.
         """
         return max(0.0, float(statistics.median(slope.fit.slope for slope in self._find(name))))
 
     def _find(self, name: SlopeName) -> list[MeasuredSlope]:
         slopes = [run[name] for run in self._runs if name in run]
         if not slopes:
-            raise SlopesFileError(f"{self.path}: no slope {name.value!r}")
+            raise SlopesFileError(f"{self.path}: it has no slope {name.value!r}")
         return slopes
 
 
@@ -103,5 +107,7 @@
     except (OSError, msgspec.DecodeError) as error:
         raise SlopesFileError(f"{path}: not a result of `quota-gateway lab slopes`: {error}") from None
     if not runs:
-        raise SlopesFileError(f"{path}: not a result of `quota-gateway lab slopes`: it holds no run")
+        raise SlopesFileError(
+            f"{path}: not a result of `quota-gateway lab slopes`: the list of runs is empty"
+        )
     return runs
--- a/quota_gateway/lab/scaling/policy_costs.py
+++ b/quota_gateway/lab/scaling/policy_costs.py
@@ -1,4 +1,4 @@
-"""What decisions and updates cost the policy against the number of servers and of customers."""
+"""Measures time and memory of the policy as functions of the numbers of servers and of customers."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 CUSTOMER = "00000000b4d65521"
 WARM_UP_REQUESTS = 3
 LIST_VERSION = 41
-SERVERS_FOR_CUSTOMERS = 20  # endpoint list of the gateways whose customers are counted
-CUSTOMER_STRIDE = 31  # the next request is of a customer this far on
+SERVERS_FOR_CUSTOMERS = 20  # length of the endpoint list while the number of customers varies
+CUSTOMER_STRIDE = 31  # distance in the list of customers between consecutive requests
 
 
 @contextmanager
 def _frozen_heap() -> Iterator[None]:
-    """Keep the garbage collector off what has been built."""
+    """Exclude all existing objects from garbage collection, which would add its time to a measurement."""
     gc.collect()
     gc.freeze()
     try:
@@ -43,22 +43,28 @@
 
 
 @contextmanager
-def _allocated_bytes(into: list[float]) -> Iterator[None]:
-    """Append the bytes that a block allocates and keeps."""
+def _allocated_bytes(results: list[float]) -> Iterator[None]:
+    """Append the bytes that the block allocates and does not free to `results`."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     yield
     gc.collect()
-    into.append(float(tracemalloc.get_traced_memory()[0] - before))
+    results.append(float(tracemalloc.get_traced_memory()[0] - before))
     tracemalloc.stop()
 
 
-def costs_by_servers(counts: Sequence[int], repeats: int, step: Callable[[], None]) -> list[Slope]:
-    """Measure what depends on the length of the endpoint list; `step` is called after each length."""
+def costs_by_servers(counts: Sequence[int], repeats: int, on_step: Callable[[], None]) -> list[Slope]:
+    """Measure the processor times and message sizes that depend on the length of the endpoint list.
+
+    Args:
+        counts: lengths of the endpoint list.
+        repeats: repetitions of each measurement of time.
+        on_step: called after each length.
+    """
     times: dict[SlopeName, Slope] = {}
-    snapshot = Slope(SlopeName.SNAPSHOT_BYTES, "bytes", "servers")
-    one_change = Slope(SlopeName.ONE_CHANGE_BYTES, "bytes", "servers")
+    snapshot_bytes = Slope(SlopeName.SNAPSHOT_BYTES, "bytes", "servers")
+    delta_bytes = Slope(SlopeName.ONE_CHANGE_BYTES, "bytes", "servers")
     for count in counts:
         gateway = ScriptedGateway(count)
         body = endpoint_list(gateway.endpoints, LIST_VERSION, full=True)
@@ -67,17 +73,23 @@
                 gateway.request(CUSTOMER)
             for name, measure in _measurements_by_servers(gateway, body, repeats).items():
                 times.setdefault(name, Slope(name, MILLISECONDS, "servers")).add(count, measure())
-        snapshot.add(count, [float(len(body))])
-        change = endpoint_list(gateway.endpoints[:1], LIST_VERSION + 1, full=False)
-        one_change.add(count, [float(len(change))])
-        step()
-    return [*times.values(), snapshot, one_change]
+        snapshot_bytes.add(count, [float(len(body))])
+        delta = endpoint_list(gateway.endpoints[:1], LIST_VERSION + 1, full=False)
+        delta_bytes.add(count, [float(len(delta))])
+        on_step()
+    return [*times.values(), snapshot_bytes, delta_bytes]
 
 
 def _measurements_by_servers(
     gateway: ScriptedGateway, body: bytes, repeats: int
 ) -> dict[SlopeName, Callable[[], list[float]]]:
-    """Return what measures the processor time of each figure, ms; `body` is the gateway's endpoint list."""
+    """Return, for each slope, a function that measures its processor times in ms.
+
+    Args:
+        gateway: the gateway under measurement.
+        body: its endpoint list, as discovery sends it.
+        repeats: repetitions of each measurement.
+    """
 
     def repeated(call: Callable[[], object]) -> Callable[[], list[float]]:
         return lambda: processor_time_ms(call, repeats)
@@ -93,8 +105,8 @@
     }
 
 
-def endpoint_memory(counts: Sequence[int], step: Callable[[], None]) -> Slope:
-    """Measure the bytes that a policy keeps for an endpoint list, parsed and handled."""
+def endpoint_memory(counts: Sequence[int], on_step: Callable[[], None]) -> Slope:
+    """Measure the bytes that a policy keeps for an endpoint list; `on_step` is called after each length."""
     slope = Slope(SlopeName.ENDPOINT_RECORDS, "bytes", "servers")
     for count in counts:
         body = endpoint_list(endpoint_records(count), LIST_VERSION, full=True)
@@ -107,44 +119,52 @@
         slope.add(count, [float(tracemalloc.get_traced_memory()[0] - before)])
         tracemalloc.stop()
         del policy
-        step()
+        on_step()
     return slope
 
 
-def costs_by_customers(counts: Sequence[int], repeats: int, step: Callable[[], None]) -> list[Slope]:
-    """Measure what depends on the customers that a gateway knows; `step` is called after each number."""
+def costs_by_customers(counts: Sequence[int], repeats: int, on_step: Callable[[], None]) -> list[Slope]:
+    """Measure the memory and processor times that depend on the number of customers that a gateway knows.
+
+    Args:
+        counts: numbers of customers.
+        repeats: repetitions of each measurement of time.
+        on_step: called after each number of customers.
+    """
     memory = Slope(SlopeName.CUSTOMER_RECORDS, "bytes", "customers")
     decision = Slope(SlopeName.DECISION_BY_CUSTOMERS, MILLISECONDS, "customers")
     tick = Slope(SlopeName.TICK_BY_CUSTOMERS, MILLISECONDS, "customers")
     for count in counts:
-        # Each customer asks once a second, within its quota.
+        # Each customer sends one request per second, which its quota admits.
         gateway = ScriptedGateway(SERVERS_FOR_CUSTOMERS, SETTINGS_WITH_COUNTER, 1000.0 / count)
-        kept: list[float] = []
-        with _allocated_bytes(kept):
+        allocated: list[float] = []
+        with _allocated_bytes(allocated):
             for customer in _customers(count):
                 gateway.request(customer)
-        memory.add(count, kept)
+        memory.add(count, allocated)
         customers = list(_customers(count))
         with _frozen_heap():
-            requests = _round_robin(gateway, customers)
-            decision.add(count, processor_time_ms(requests, repeats))
+            send_request = _request_sender(gateway, customers)
+            decision.add(count, processor_time_ms(send_request, repeats))
             for customer in customers:
-                # The usage of a second request is reported later; no call is due in the ticks that follow.
+                # A second request leaves unreported usage that is not due yet: the ticks that follow check
+                # each customer, but call the counter for none.
                 gateway.request(customer)
             tick.add(count, processor_time_ms(gateway.tick_at_once, repeats))
-        step()
+        on_step()
     return [memory, decision, tick]
 
 
-def _round_robin(gateway: ScriptedGateway, customers: list[str]) -> Callable[[], None]:
-    """Return a call that sends a request of the next customer."""
-    numbers = itertools.count()
+def _request_sender(gateway: ScriptedGateway, customers: list[str]) -> Callable[[], None]:
+    """Return a function that sends one request; consecutive calls go through the customers in strides."""
+    request_numbers = itertools.count()
 
-    def request() -> None:
-        gateway.request(customers[next(numbers) * CUSTOMER_STRIDE % len(customers)])
+    def send_request() -> None:
+        gateway.request(customers[next(request_numbers) * CUSTOMER_STRIDE % len(customers)])
 
-    return request
+    return send_request
 
 
 def _customers(count: int) -> Iterator[str]:
+    """Return customer ids: 16 hexadecimal digits each."""
     return (f"{i * 7919:016x}" for i in range(count))
--- a/quota_gateway/lab/scaling/process_costs.py
+++ b/quota_gateway/lab/scaling/process_costs.py
@@ -1,4 +1,4 @@
-"""What a real gateway's process costs to start and to keep in memory."""
+"""Measures the start and the memory of a real gateway process."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from quota_gateway.lab.fakes.discovery import FakeDiscovery
 from quota_gateway.lab.load.deployment import gateway_settings
 from quota_gateway.lab.load.gateway_process import GatewayProcess
-from quota_gateway.lab.scaling.scripted_gateway import GATEWAYS, POLICY_SEED, endpoint_records
+from quota_gateway.lab.scaling.scripted_gateway import GATEWAY_COUNT, POLICY_SEED, endpoint_records
 from quota_gateway.lab.scaling.slope import MILLISECONDS, Slope
 from quota_gateway.lab.scaling.slope_names import SlopeName
 from quota_gateway.lab.simulation.wire_sizes import endpoint_list
 
-SETTLE_S = 0.3  # between a gateway's first answer and the reading of its memory
+SETTLE_S = 0.3  # delay between a gateway's first answer and the reading of its memory
 BYTES_PER_MIB = 2.0**20
 PRINT_RESIDENT_BYTES = """
 import os, resource
@@ -31,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessCost:
-    """What one process took."""
+    """Processor time and memory of one gateway process."""
 
-    start_ms: float  # processor time to its first answer
-    resident_bytes: float  # the most, soon after
+    start_ms: float  # processor time until the first answer
+    resident_bytes: float  # peak resident memory, read `SETTLE_S` after the first answer
 
 
 def empty_process_memory(repeats: int) -> Slope:
-    """Measure the resident bytes of a process that has loaded a gateway's code and holds nothing yet."""
+    """Measure the resident memory of a process that has imported the gateway's code and holds no data."""
     slope = Slope(SlopeName.EMPTY_PROCESS, "bytes", "processes")
     command = [sys.executable, "-c", PRINT_RESIDENT_BYTES]
     runs = [subprocess.run(command, capture_output=True, check=True) for _ in range(repeats)]
@@ -46,8 +46,14 @@
     return slope
 
 
-def costs_by_process(counts: Sequence[int], repeats: int, step: Callable[[], None]) -> list[Slope]:
-    """Measure a process's start and memory by the servers in its list; `step` is called after each length."""
+def costs_by_process(counts: Sequence[int], repeats: int, on_step: Callable[[], None]) -> list[Slope]:
+    """Measure the start and the memory of a gateway process against the length of its endpoint list.
+
+    Args:
+        counts: lengths of the endpoint list.
+        repeats: processes started for each length.
+        on_step: called after each length.
+    """
     start = Slope(SlopeName.PROCESS_START, MILLISECONDS, "servers")
     resident = Slope(SlopeName.PROCESS_RESIDENT, "bytes", "servers")
     for count in counts:
@@ -55,12 +61,12 @@
             costs = [asyncio.run(_run_process(count, Path(folder))) for _ in range(repeats)]
         start.add(count, [cost.start_ms for cost in costs])
         resident.add(count, [cost.resident_bytes for cost in costs])
-        step()
+        on_step()
     return [start, resident]
 
 
 async def _run_process(count: int, folder: Path) -> ProcessCost:
-    """Run a real gateway to its first answer, with a cached list to which discovery has no changes."""
+    """Run a real gateway until its first answer, with a cached endpoint list that discovery confirms."""
     discovery = FakeDiscovery()
     await discovery.start()
     cached_list = endpoint_list(endpoint_records(count), discovery.endpoints.version, full=True)
@@ -70,7 +76,7 @@
             {
                 "discovery": discovery.address,
                 "seed": f"{POLICY_SEED:016x}",
-                "settings": gateway_settings(GATEWAYS),
+                "settings": gateway_settings(GATEWAY_COUNT),
                 "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 1024},
                 "known": json.loads(cached_list),
             }
--- a/quota_gateway/lab/scaling/slope.py
+++ b/quota_gateway/lab/scaling/slope.py
@@ -1,4 +1,4 @@
-"""One figure measured against a count, and the straight line through its medians."""
+"""A figure measured at several counts, and the straight line fitted to its medians."""
 
 from __future__ import annotations
 
@@ -13,19 +13,22 @@
 from quota_gateway.lab.scaling.slope_names import SlopeName
 
 MILLISECONDS = "ms"
-MIN_REPETITION_S = 0.03  # a repetition goes on for this long ...
-MIN_REPETITION_CALLS = 3  # ... and for so many calls
-SMALLEST_MEDIAN = 1e-12  # bounds the weights of the fit
+# A repetition ends when it has reached both of these.
+MIN_REPETITION_S = 0.03
+MIN_REPETITION_CALLS = 3
+MIN_FIT_MEDIAN = 1e-12  # bounds the weights of the fit, which are inverse to the medians
 
 
 @dataclass(slots=True)
 class Slope:
-    """One figure against a count.
+    """One figure, measured at one or more counts.
 
     Attributes:
-        against: what is counted, in the plural.
-        points: for each count its repetitions, lowest first.
-        reference_ms: duration of the reference loop next to each measurement of time.
+        name: the figure.
+        unit: the unit of the measured values.
+        against: the things that are counted, in the plural.
+        points: the measured values of each count, in ascending order.
+        reference_ms: duration of the reference loop after each measurement of time, by count.
     """
 
     name: SlopeName
@@ -35,25 +38,26 @@
     reference_ms: dict[int, float] = field(default_factory=dict)
 
     def add(self, count: int, values: Sequence[float]) -> None:
-        """Record the repetitions at one count."""
+        """Record the values that were measured at one count."""
         self.points[count] = sorted(values)
         if self.unit == MILLISECONDS:
             self.reference_ms[count] = reference_loop_ms()
 
     def fit(self) -> tuple[float, float]:
-        """Return the intercept, and the slope for one more of what is counted.
+        """Return the intercept and the slope of the line fitted to the medians.
 
-        The fit is by relative error, so that short lists count as much as long ones.
+        The fit minimises relative errors, so that small counts weigh as much as large ones. A single point
+        gives its median and a slope of 0.
         """
         if len(self.points) < 2:
             return float(np.median(next(iter(self.points.values())))), 0.0
         counts = np.array(list(self.points), dtype=float)
         medians = np.array([float(np.median(values)) for values in self.points.values()])
-        slope, intercept = np.polyfit(counts, medians, 1, w=1.0 / np.maximum(medians, SMALLEST_MEDIAN))
+        slope, intercept = np.polyfit(counts, medians, 1, w=1.0 / np.maximum(medians, MIN_FIT_MEDIAN))
         return float(intercept), float(slope)
 
     def report(self) -> dict[str, Any]:
-        """Return the figure for a result file."""
+        """Return the figure with its points and its line, as data for a result file."""
         intercept, slope = self.fit()
         return {
             "name": self.name.value,
@@ -78,13 +82,14 @@
 
 
 def processor_time_ms(call: Callable[[], object], repeats: int) -> list[float]:
-    """Return the processor time of one call, ms: the mean over each repetition."""
+    """Return, for each repetition, the mean processor time of one call in ms."""
     means = []
     call()
     for _ in range(repeats):
-        calls, began = 0, time.process_time()
-        while calls < MIN_REPETITION_CALLS or time.process_time() - began < MIN_REPETITION_S:
+        calls = 0
+        started_s = time.process_time()
+        while calls < MIN_REPETITION_CALLS or time.process_time() - started_s < MIN_REPETITION_S:
             call()
             calls += 1
-        means.append(1000.0 * (time.process_time() - began) / calls)
+        means.append(1000.0 * (time.process_time() - started_s) / calls)
     return means
--- a/quota_gateway/lab/scaling/slope_names.py
+++ b/quota_gateway/lab/scaling/slope_names.py
@@ -1,4 +1,4 @@
-"""The measured figures by name, as result files of `quota-gateway lab slopes` hold them."""
+"""Names of the measured figures, as result files of `quota-gateway lab slopes` store them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class SlopeName(StrEnum):
-    """What was measured. The values are part of the file format: files of before have to be read."""
+    """A measured figure. The values are part of the file format: existing files must stay readable."""
 
     DECISION = "decision: request and its outcome"
     DECISION_BY_CUSTOMERS = "decision, by known customers"
--- a/quota_gateway/lab/scaling/slopes.py
+++ b/quota_gateway/lab/scaling/slopes.py
@@ -1,8 +1,8 @@
-"""Slopes: what the real policy and network code cost against the number of servers and of customers.
+"""Slopes: the costs of the real policy and network code against the numbers of servers and of customers.
 
-Nothing is simulated here. Each figure is the processor time of this process for one call or of a gateway's
-process for its start, or the bytes of one message, record or process; it is repeated, and given as minimum,
-median and maximum. A straight line is fitted to the medians.
+Nothing is simulated here. A figure is either a processor time (of this process for one call, or of a gateway
+process for its start) or a number of bytes (of a message, of records or of a process). Measurements are
+repeated and reported as minimum, median and maximum. A straight line is fitted to the medians.
 """
 
 from __future__ import annotations
@@ -18,37 +18,39 @@
 from quota_gateway.lab.scaling.process_costs import costs_by_process, empty_process_memory
 from quota_gateway.lab.tables import table
 
-SERVER_COUNTS = (20, 200, 2_000, 20_000)  # the letter: 20,000
-CUSTOMER_COUNTS = (100, 1_000, 10_000, 87_000)  # the letter: 87,000
-FRACTIONAL_UNITS = ("ms", "calls/s")  # units of figures that may lie below one
+# The largest counts are those of the capacity target.
+SERVER_COUNTS = (20, 200, 2_000, 20_000)
+CUSTOMER_COUNTS = (100, 1_000, 10_000, 87_000)
+FRACTIONAL_UNITS = ("ms", "calls/s")  # units whose figures may be below 1
 
 
 def measure(max_servers: int, repeats: int, progress: Callable[[float], None]) -> dict[str, Any]:
-    """Measure all slopes, and return them for a result file.
+    """Measure all slopes, and return them as data for a result file.
 
     Args:
         max_servers: length of the longest endpoint list.
         repeats: repetitions of each measurement.
-        progress: called with the share that is done.
+        progress: called with the completed share of the work, from 0 to 1.
     """
-    servers = [count for count in SERVER_COUNTS if count <= max_servers]
-    customers = CUSTOMER_COUNTS
-    done, total = 0, 3 * len(servers) + len(customers)
+    server_counts = [count for count in SERVER_COUNTS if count <= max_servers]
+    customer_counts = CUSTOMER_COUNTS
+    completed_steps = 0
+    total_steps = 3 * len(server_counts) + len(customer_counts)  # three measurements go over the servers
 
-    def step() -> None:
-        nonlocal done
-        done += 1
-        progress(done / total)
+    def on_step() -> None:
+        nonlocal completed_steps
+        completed_steps += 1
+        progress(completed_steps / total_steps)
 
     machine = describe_machine()
     slopes = [
-        *costs_by_servers(servers, repeats, step),
-        endpoint_memory(servers, step),
-        *costs_by_customers(customers, repeats, step),
+        *costs_by_servers(server_counts, repeats, on_step),
+        endpoint_memory(server_counts, on_step),
+        *costs_by_customers(customer_counts, repeats, on_step),
         *costs_by_request(repeats),
         *message_sizes(),
         empty_process_memory(repeats),
-        *costs_by_process(servers, repeats, step),
+        *costs_by_process(server_counts, repeats, on_step),
     ]
     return {
         "machine": machine,
@@ -59,9 +61,9 @@
 
 
 def show(console: Console, result: dict[str, Any]) -> None:
-    """Print tables of all slopes, below a line on the machine."""
-    after = f"reference loop at the end {result['reference_after_ms']} ms"
-    console.print(f"slopes: {machine_line(result['machine'])}; {after}", soft_wrap=True)
+    """Print a line that describes the machine, and tables of all points and fitted lines."""
+    end_pace = f"reference loop at the end {result['reference_after_ms']} ms"
+    console.print(f"slopes: {machine_line(result['machine'])}; {end_pace}", soft_wrap=True)
     points = [_point_row(slope, point) for slope in result["slopes"] for point in slope["points"]]
     console.print(table("Points", ["figure", "against", "min", "median", "max", "unit"], points))
     fits = [_fit_row(slope) for slope in result["slopes"] if len(slope["points"]) > 1]
@@ -70,8 +72,8 @@
 
 def _point_row(slope: dict[str, Any], point: dict[str, Any]) -> tuple[str, ...]:
     digits = ",.4g" if slope["unit"] in FRACTIONAL_UNITS else ",.0f"
-    spread = (format(point[key], digits) for key in ("min", "median", "max"))
-    return (slope["name"], f"{point['count']:,} {slope['against']}", *spread, slope["unit"])
+    values = (format(point[key], digits) for key in ("min", "median", "max"))
+    return (slope["name"], f"{point['count']:,} {slope['against']}", *values, slope["unit"])
 
 
 def _fit_row(slope: dict[str, Any]) -> tuple[str, ...]:
--- a/tests/lab/scaling/test_slopes.py
+++ b/tests/lab/scaling/test_slopes.py
@@ -1,4 +1,4 @@
-"""Measured costs against counts."""
+"""Tests of the slopes: costs measured at several counts, and the lines fitted to them."""
 
 from __future__ import annotations
 
@@ -23,14 +23,18 @@
     assert shares_done[-1] == 1.0
     snapshot = by_name["whole list"]
     assert [point["count"] for point in snapshot["points"]] == [20, 200]
-    assert 100 < snapshot["fit"]["slope"] < 200  # bytes of an endpoint
+    assert 100 < snapshot["fit"]["slope"] < 200  # bytes per endpoint
     assert by_name["one change"]["fit"]["slope"] == pytest.approx(0.0, abs=1e-9)
     for measured in result["slopes"]:
         for point in measured["points"]:
             assert 0 < point["min"] <= point["median"] <= point["max"]
     update = by_name["news of a watch: call and answer"]
-    assert update["fit"]["slope"] == pytest.approx(snapshot["fit"]["slope"], rel=0.05)  # a change is a row
-    assert by_name["an idle watch: calls"]["points"][0]["median"] == pytest.approx(0.25)  # PROTOCOL: 4 s
+    assert update["fit"]["slope"] == pytest.approx(
+        snapshot["fit"]["slope"], rel=0.05
+    )  # a delta has one row per change
+    assert by_name["an idle watch: calls"]["points"][0]["median"] == pytest.approx(
+        0.25
+    )  # one long poll every 4 s
     empty = by_name["a gateway's process, nothing held"]
     resident = by_name["a gateway's process, most resident"]
     assert [point["count"] for point in resident["points"]] == [20, 200]
@@ -66,6 +70,6 @@
     for _ in range(64):
         gateway.change_endpoint()
     states = [(update.endpoints[0].server_id, update.endpoints[0].state) for update in updates]
-    for (drained, draining), (back, active) in zip(states[::2], states[1::2], strict=True):
-        assert (drained, draining, active) == (back, EndpointState.DRAINING, EndpointState.ACTIVE)
+    for (drained, draining), (restored, active) in zip(states[::2], states[1::2], strict=True):
+        assert (drained, draining, active) == (restored, EndpointState.DRAINING, EndpointState.ACTIVE)
     assert len({server for server, _ in states}) == 30
