--- a/quota_gateway/lab/cli/__init__.py
+++ b/quota_gateway/lab/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line `quota-gateway`."""
+"""The `quota-gateway` command line."""
--- a/quota_gateway/lab/cli/demo.py
+++ b/quota_gateway/lab/cli/demo.py
@@ -1,4 +1,4 @@
-"""`quota-gateway demo`: one real gateway with fakes on loopback, and a few seconds of load."""
+"""The command `quota-gateway demo`: one real gateway under load, with fake peers on loopback."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 def demo(
-    seconds: Annotated[float, typer.Option(help="How long the load lasts.")] = 5.0,
-    rate: Annotated[float, typer.Option(help="Requests a second.")] = 100.0,
-    seed: Annotated[int, typer.Option(help="Customers and requests are drawn from it.")] = 1,
-    json: Annotated[Path | None, typer.Option(help="Write the result to this file.")] = None,
+    seconds: Annotated[float, typer.Option(help="Duration of the load, in seconds.")] = 5.0,
+    rate: Annotated[float, typer.Option(help="Requests per second.")] = 100.0,
+    seed: Annotated[int, typer.Option(help="Seed for drawing customers and requests.")] = 1,
+    json: Annotated[Path | None, typer.Option(help="Write the result to this file, as JSON.")] = None,
 ) -> None:
     """Run one gateway on loopback under load for a few seconds.
 
-    Starts a gateway with fakes of servers, counter and discovery, sends requests of customers of whom one in
-    four asks for more than its quota, shows what became of them, and ends all that it started. Exit status 0
+    Starts a gateway with fake servers, a fake counter and a fake discovery, sends it requests, prints the
+    outcomes, and stops everything it started. One customer in four exceeds its quota. The exit status is 0
     only if each request got exactly one reply.
     """
     try:
@@ -32,5 +32,5 @@
 
 
 def register(app: typer.Typer) -> None:
-    """Add the command to an app."""
+    """Add the command to a Typer app."""
     app.command("demo")(demo)
--- a/quota_gateway/lab/cli/errors.py
+++ b/quota_gateway/lab/cli/errors.py
@@ -1,4 +1,4 @@
-"""How the commands report errors."""
+"""Error output and exit status of the commands."""
 
 from __future__ import annotations
 
--- a/quota_gateway/lab/cli/experiment_runs.py
+++ b/quota_gateway/lab/cli/experiment_runs.py
@@ -19,8 +19,8 @@
 
 
 def run_experiment(experiment: Experiment, seed: int) -> dict[str, Any]:
-    """Run an experiment with one seed, and return its result for a result file."""
-    configure_logging()  # this may be a process of its own
+    """Run an experiment with one seed, and return its result as data for a result file."""
+    configure_logging()  # needed here too: `run_seeds` calls this function in new processes
     log = structlog.get_logger()
     log.info(
         "simulation_building",
@@ -51,15 +51,15 @@
 
 
 def run_seeds(experiment: Experiment, seeds: list[int], processes: int) -> dict[str, Any]:
-    """Run an experiment with several seeds, each in a process of its own.
+    """Run an experiment with several seeds in a pool of processes.
 
     Args:
-        experiment: the experiment.
-        seeds: one for each run.
-        processes: runs at the same time.
+        experiment: the experiment to run.
+        seeds: the seeds, one for each run.
+        processes: maximum number of parallel runs.
 
     Returns:
-        The runs for a result file, with the spread of each rate over them.
+        Data for a result file: all runs, and the spread of each rate over the runs.
     """
     with ProcessPoolExecutor(processes, mp_context=get_context("spawn")) as pool:
         runs = list(pool.map(run_experiment, [experiment] * len(seeds), seeds))
@@ -72,6 +72,7 @@
 
 
 def _spread_of_rates(runs: list[dict[str, Any]]) -> dict[str, dict[str, float]]:
+    """Return the minimum, median and maximum of each rate over the runs."""
     spread = {}
     for name in runs[0]["simulated"]["rates"]:
         values = sorted(run["simulated"]["rates"][name] for run in runs)
--- a/quota_gateway/lab/cli/lab.py
+++ b/quota_gateway/lab/cli/lab.py
@@ -10,6 +10,7 @@
 import typer
 
 from quota_gateway.lab import results
+from quota_gateway.lab.cli.errors import EXIT_BAD_INPUT
 from quota_gateway.lab.cli.experiment_runs import run_experiment, run_seeds
 from quota_gateway.lab.cli.logging_setup import configure_logging
 from quota_gateway.lab.cli.progress import progress_bar
@@ -22,29 +23,30 @@
 from quota_gateway.lab.tables import standard_output
 from quota_gateway.lab.toml_config import ConfigFileError
 
-BAD_INPUT_STATUS = 2
-
 app = typer.Typer(
-    name="lab", no_args_is_help=True, add_completion=False, help="The emulator of the fleet, and its figures."
+    name="lab",
+    no_args_is_help=True,
+    add_completion=False,
+    help="Simulate the fleet, measure costs, and calculate the capacity that a fleet needs.",
 )
 OutputPath = Annotated[
-    Path | None, typer.Option("--out", dir_okay=False, help="Write the result here, as JSON.")
+    Path | None, typer.Option("--out", dir_okay=False, help="Write the result to this file, as JSON.")
 ]
 
 
 @app.command()
 def run(
-    experiment_path: Annotated[
-        Path, typer.Argument(metavar="experiment", help="The experiment, a TOML file.")
-    ],
-    seed: Annotated[int | None, typer.Option(min=0, help="In place of the seed in the file.")] = None,
+    experiment_path: Annotated[Path, typer.Argument(metavar="experiment", help="Experiment file (TOML).")],
+    seed: Annotated[
+        int | None, typer.Option(min=0, help="Seed to use instead of the one in the experiment file.")
+    ] = None,
     out: OutputPath = None,
-    repeat: Annotated[int, typer.Option(min=1, max=1000, help="Run so many seeds in a row.")] = 1,
+    repeat: Annotated[int, typer.Option(min=1, max=1000, help="Number of runs, with consecutive seeds.")] = 1,
     processes: Annotated[
-        int, typer.Option(min=1, max=os.cpu_count() or 1, help="Run so many of them at once.")
+        int, typer.Option(min=1, max=os.cpu_count() or 1, help="Number of runs to execute in parallel.")
     ] = 1,
 ) -> None:
-    """Run an experiment in simulated time and print its figures."""
+    """Run an experiment in simulated time, and print its figures."""
     configure_logging()
     _check_output(out)
     try:
@@ -65,11 +67,11 @@
 def measure_slopes(
     out: OutputPath = None,
     max_servers: Annotated[
-        int, typer.Option("--most", min=20, help="The longest list of servers to measure.")
+        int, typer.Option("--most", min=20, help="Length of the longest endpoint list to measure.")
     ] = 20_000,
-    repeats: Annotated[int, typer.Option(min=1, help="Repetitions of each measurement.")] = 5,
+    repeats: Annotated[int, typer.Option(min=1, help="Number of repetitions of each measurement.")] = 5,
 ) -> None:
-    """Measure what the real policy and network code cost against the number of servers and customers."""
+    """Measure the costs of the real policy and network code against the numbers of servers and customers."""
     configure_logging()
     _check_output(out)
     with progress_bar("slopes") as progress:
@@ -80,11 +82,11 @@
 
 @app.command("capacity")
 def capacity_page(
-    size: Annotated[Path, typer.Argument(help="The size of the fleet, a TOML file.")],
-    measured: Annotated[Path, typer.Argument(help="Slopes, as `quota-gateway lab slopes --out` wrote them.")],
+    size: Annotated[Path, typer.Argument(help="Fleet plan file (TOML).")],
+    measured: Annotated[Path, typer.Argument(help="Result file of `quota-gateway lab slopes --out`.")],
     out: OutputPath = None,
 ) -> None:
-    """Work out what each role needs at a size, from measured slopes, as a table for a page."""
+    """Calculate the resources that each role needs at a fleet size, and print them as a Markdown table."""
     _check_output(out)
     try:
         plan = load_fleet_plan(size)
@@ -98,13 +100,13 @@
 
 
 def _bad_input(message: str) -> typer.Exit:
-    """Print one line for the operator, and return the exit of bad input."""
+    """Print the message as one line on standard error, and return the exit for bad input."""
     print(f"quota-gateway lab: {message}", file=sys.stderr)
-    return typer.Exit(BAD_INPUT_STATUS)
+    return typer.Exit(EXIT_BAD_INPUT)
 
 
 def _check_output(out: Path | None) -> None:
-    """Exit before the run if the result could not be written after it."""
+    """Exit with an error if the result of the run can't be written to the file `out`."""
     try:
         if out is not None:
             results.check_output_path(out)
@@ -113,7 +115,7 @@
 
 
 def _write_result(out: Path | None, result: dict[str, Any]) -> None:
-    """Write the result, if it is wanted."""
+    """Write the result to the file `out`, if one is given."""
     if out is None:
         return
     try:
--- a/quota_gateway/lab/cli/load.py
+++ b/quota_gateway/lab/cli/load.py
@@ -1,4 +1,4 @@
-"""`quota-gateway lab load`: real gateways with fakes on loopback, and the latency that they add."""
+"""The command `quota-gateway lab load`: measures the latency that real gateways add, with fake peers."""
 
 from __future__ import annotations
 
@@ -13,26 +13,28 @@
 from quota_gateway.lab.load.scheduled_fault import parse_scheduled_fault
 from quota_gateway.lab.load.testbed import LoopbackTestbedSpec
 
-FAULT_HELP = "TARGET:KIND[,share=S][,delay=MS][,from=S][,to=S], as servers:reset,share=0.2. Repeatable."
+FAULT_HELP = (
+    "TARGET:KIND[,share=S][,delay=MS][,from=S][,to=S], for example servers:reset,share=0.2. May be repeated."
+)
 
 
 def load(
-    gateways: Annotated[int, typer.Option(help="Real gateways to start.")] = 2,
-    servers: Annotated[int, typer.Option(help="Fake servers.")] = 20,
-    rate: Annotated[float, typer.Option(help="Requests a second, over all gateways.")] = 200.0,
-    seconds: Annotated[float, typer.Option(help="How long the load lasts.")] = 10.0,
+    gateways: Annotated[int, typer.Option(help="Number of gateways to start.")] = 2,
+    servers: Annotated[int, typer.Option(help="Number of fake servers.")] = 20,
+    rate: Annotated[float, typer.Option(help="Requests per second, over all gateways.")] = 200.0,
+    seconds: Annotated[float, typer.Option(help="Duration of the load, in seconds.")] = 10.0,
     beyond: Annotated[float, typer.Option(help="Share of customers over their quota.")] = 0.0,
-    service_ms: Annotated[float, typer.Option(help="Mean time of a request of one unit at a server.")] = 5.0,
-    cores: Annotated[int, typer.Option(help="Cores of a server.")] = 2,
-    seed: Annotated[int, typer.Option(help="Everything random is drawn from it.")] = 1,
+    service_ms: Annotated[float, typer.Option(help="Mean service time of a one-unit request, in ms.")] = 5.0,
+    cores: Annotated[int, typer.Option(help="Cores of each server.")] = 2,
+    seed: Annotated[int, typer.Option(help="Seed of all random draws.")] = 1,
     fault: Annotated[list[str] | None, typer.Option(help=FAULT_HELP)] = None,
-    json: Annotated[Path | None, typer.Option(help="Write the result to this file.")] = None,
+    json: Annotated[Path | None, typer.Option(help="Write the result to this file, as JSON.")] = None,
 ) -> None:
     """Run real gateways on loopback under load, and measure the latency that they add.
 
-    The added latency is a served request's latency from its intended sending, less its time at the servers,
-    which they record by request id. The same load is first sent to the servers directly, to show what of it
-    is this tool's own doing.
+    The added latency of a served request is its latency, counted from its scheduled sending time, less its
+    time at the servers, which record it by request id. The same load is first sent directly to the servers,
+    to show the share of the latency that the tool itself causes.
     """
     try:
         load_spec = LoadSpec(rate, seconds, seed, beyond)
@@ -45,5 +47,5 @@
 
 
 def register(app: typer.Typer) -> None:
-    """Add the command to an app."""
+    """Add the command to a Typer app."""
     app.command("load")(load)
--- a/quota_gateway/lab/cli/logging_setup.py
+++ b/quota_gateway/lab/cli/logging_setup.py
@@ -1,4 +1,4 @@
-"""Log set-up that all commands of the lab share."""
+"""Logging configuration that all commands of the lab share."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def configure_logging() -> None:
-    """Send log lines in logfmt to standard error; standard output holds results alone.
+    """Write log lines in logfmt to standard error; standard output is reserved for results.
 
-    May be called again, also in a process of its own.
+    May be called repeatedly, and has to be called in each new process.
     """
     structlog.configure(
         processors=[
--- a/quota_gateway/lab/cli/main.py
+++ b/quota_gateway/lab/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line `quota-gateway`."""
+"""The `quota-gateway` command line."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 @app.callback()
 def root() -> None:
-    """A quota-keeping gateway: try it out, and measure it in the lab."""
+    """Try out a quota-keeping gateway, and measure it in the lab."""
 
 
 def main() -> None:
-    """Run the console script. Bad arguments are reported in one line, with exit status 2."""
+    """Run the console script. Invalid arguments are reported in one line, with exit status 2."""
     try:
         status = app(standalone_mode=False)
     except typer.TyperException as error:
         message = error.format_message()
-        if message.strip():  # empty where the help was shown instead
+        if message.strip():  # the message is empty if the help was printed instead
             print_error(message)
         sys.exit(EXIT_BAD_INPUT)
     sys.exit(status if isinstance(status, int) else 0)
--- a/quota_gateway/lab/cli/progress.py
+++ b/quota_gateway/lab/cli/progress.py
@@ -1,4 +1,4 @@
-"""A progress bar on standard error, where that is a terminal."""
+"""A progress bar on standard error, shown only if that is a terminal."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 @contextmanager
-def progress_bar(text: str) -> Iterator[Callable[[float], None]]:
-    """Show a bar while the block runs; it is given a function that takes the share done, from 0 to 1."""
+def progress_bar(label: str) -> Iterator[Callable[[float], None]]:
+    """Show a bar while the block runs; yields a function that sets the completed share, from 0 to 1."""
     console = Console(stderr=True)
     columns = (TextColumn("{task.description}"), TaskProgressColumn(), TimeElapsedColumn())
     with Progress(*columns, console=console, transient=True, disable=not console.is_terminal) as progress:
-        task = progress.add_task(text, total=1.0)
+        task = progress.add_task(label, total=1.0)
 
-        def update(share: float) -> None:
-            progress.update(task, completed=share)
+        def update(completed_share: float) -> None:
+            progress.update(task, completed=completed_share)
 
         yield update
--- a/quota_gateway/lab/cli/signals.py
+++ b/quota_gateway/lab/cli/signals.py
@@ -1,4 +1,4 @@
-"""Runs a coroutine until it ends or a signal asks for its end."""
+"""Runs a coroutine until it completes or a termination signal arrives."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 Result = TypeVar("Result")
 TERMINATION_SIGNALS = (signal.SIGINT, signal.SIGTERM, signal.SIGHUP)
-EXIT_STATUS_BASE = 128  # a shell's convention: 128 and the signal's number
+EXIT_STATUS_BASE = 128  # shell convention: exit status 128 + signal number
 
 
 class TerminationSignalError(Exception):
-    """The run was ended by a signal, whose name is the text."""
+    """A signal ended the run. The message is the signal's name."""
 
     def __init__(self, number: int) -> None:
         super().__init__(signal.Signals(number).name)
@@ -23,17 +23,18 @@
 
 
 def run_until_signal(work: Coroutine[Any, Any, Result]) -> Result:
-    """Run a coroutine on an event loop of its own.
+    """Run a coroutine on a new event loop, and return its result.
 
-    A termination signal cancels it. Its clean-up then runs to the end before the error is raised.
+    A termination signal cancels the coroutine. Its clean-up completes before the error is raised.
 
     Raises:
-        TerminationSignalError: a signal ended it.
+        TerminationSignalError: a signal ended the coroutine.
     """
     received: list[int] = []
 
     async def main() -> Result:
-        loop, task = asyncio.get_running_loop(), asyncio.current_task()
+        loop = asyncio.get_running_loop()
+        task = asyncio.current_task()
         assert task is not None
 
         def cancel(number: int) -> None:
--- a/quota_gateway/lab/cli/trial_command.py
+++ b/quota_gateway/lab/cli/trial_command.py
@@ -1,4 +1,4 @@
-"""What the commands that run a trial share: from checked arguments to an exit status."""
+"""Runs a trial for a command: from validated arguments to the exit status."""
 
 from __future__ import annotations
 
@@ -33,10 +33,18 @@
 ) -> None:
     """Run a trial, print and write its result, and exit.
 
+    Args:
+        testbed_spec: the gateways and fakes to start.
+        load_spec: the requests to send.
+        output_path: where to write the result, as JSON; None if it is only printed.
+        detailed: whether to measure the client's own overhead, and to print latencies, attempts and faults.
+        faults: the faults to inject.
+
     Raises:
-        typer.BadParameter: the result cannot be written there, or a fault cannot be shown (exit status 2).
-        typer.Exit: always otherwise, with status 0 after a trial that passed, 1 after one that did not, and
-            128 and the signal's number after one that a signal ended.
+        typer.BadParameter: the result can't be written to the path, or the testbed can't inject a fault
+            (exit status 2).
+        typer.Exit: in all other cases, with status 0 if the trial passed, 1 if it failed or could not be
+            run, and 128 plus the signal number if a signal ended it.
     """
     configure_logging()
     try:
@@ -46,7 +54,7 @@
         raise typer.BadParameter(str(error)) from None
     try:
         result = run_until_signal(run_trial(testbed_spec, load_spec, detailed, faults))
-        _deliver(result, output_path, detailed)
+        _print_and_write(result, output_path, detailed)
     except ScheduledFaultError as error:
         raise typer.BadParameter(str(error)) from None
     except (GatewayError, OSError) as error:
@@ -58,7 +66,7 @@
     raise typer.Exit(EXIT_PASSED if result.passed else EXIT_FAILED)
 
 
-def _deliver(result: TrialResult, output_path: Path | None, detailed: bool) -> None:
+def _print_and_write(result: TrialResult, output_path: Path | None, detailed: bool) -> None:
     print_report(result, detailed)
     if output_path is not None:
         results.write(output_path, result)
--- a/tests/lab/cli/command_line.py
+++ b/tests/lab/cli/command_line.py
@@ -1,4 +1,4 @@
-"""Runs the command line as a process of its own, and finds the gateways that it started."""
+"""Runs the command line as a child process, and finds the gateways that it started."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 ROOT = Path(__file__).resolve().parents[3]
 COMMAND = [sys.executable, "-c", "from quota_gateway.lab.cli.main import main; main()"]
-LIMIT_S = 60.0  # only keeps a broken test from hanging
+COMMAND_TIMEOUT_S = 60.0  # keeps a broken test from hanging; no test measures it
 
 
 @dataclass(frozen=True, slots=True)
 class CommandResult:
-    """What a command left."""
+    """Exit status and output of a command."""
 
     exit_status: int
     stdout: str
@@ -25,7 +25,7 @@
 
 
 def start_command(temporary_directory: Path, *arguments: str) -> subprocess.Popen[str]:
-    """Start the command, with a directory of its own for temporary files."""
+    """Start the command, with the given directory for its temporary files."""
     environ = {**os.environ, "TMPDIR": str(temporary_directory), "COLUMNS": "100"}
     pipe = subprocess.PIPE
     command = [*COMMAND, *arguments]
@@ -33,27 +33,27 @@
 
 
 def run_command(temporary_directory: Path, *arguments: str) -> CommandResult:
-    """Run the command to its end."""
+    """Run the command until it exits."""
     with start_command(temporary_directory, *arguments) as process:
-        stdout, stderr = process.communicate(timeout=LIMIT_S)
+        stdout, stderr = process.communicate(timeout=COMMAND_TIMEOUT_S)
     return CommandResult(process.returncode, stdout, stderr)
 
 
 def gateway_pids(directory: Path) -> list[int]:
-    """Return the processes that run with a configuration in a directory."""
-    found = []
+    """Return the ids of processes whose gateway configuration is in a directory."""
+    pids = []
     for path in Path("/proc").glob("[0-9]*/environ"):
         try:
             if f"EDGE_CONFIG={directory}".encode() in path.read_bytes():
-                found.append(int(path.parent.name))
+                pids.append(int(path.parent.name))
         except OSError:
-            continue  # it has exited, or belongs to another user
-    return found
+            continue  # the process has exited or belongs to another user
+    return pids
 
 
 def wait_for(condition: Callable[[], object]) -> None:
-    """Wait until a condition holds."""
-    end = time.monotonic() + LIMIT_S
-    while not condition() and time.monotonic() < end:
+    """Wait until a condition holds, and fail if it does not within `COMMAND_TIMEOUT_S`."""
+    deadline_s = time.monotonic() + COMMAND_TIMEOUT_S
+    while not condition() and time.monotonic() < deadline_s:
         time.sleep(0.01)
     assert condition()
--- a/tests/lab/cli/test_demo_command.py
+++ b/tests/lab/cli/test_demo_command.py
@@ -1,4 +1,4 @@
-"""`quota-gateway demo` as a newcomer starts it: output, result file, signals."""
+"""Tests of `quota-gateway demo` as a child process: output, result file, signals."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.lab.cli.command_line import LIMIT_S, gateway_pids, run_command, start_command, wait_for
+from tests.lab.cli.command_line import COMMAND_TIMEOUT_S, gateway_pids, run_command, start_command, wait_for
 
 
 def test_the_demo_serves_rejects_with_retry_after_and_loses_nothing(tmp_path: Path) -> None:
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
-def test_a_signal_ends_the_gateway_too(tmp_path: Path, number: signal.Signals) -> None:
+def test_a_signal_to_the_command_also_ends_the_gateway(tmp_path: Path, number: signal.Signals) -> None:
     with start_command(
         tmp_path, "demo", "--seconds", "50", "--json", str(tmp_path / "result.json")
     ) as process:
@@ -40,7 +40,7 @@
         assert len(gateway_pids(tmp_path)) == 1
         assert process.poll() is None
         process.send_signal(number)
-        stdout, stderr = process.communicate(timeout=LIMIT_S)
+        stdout, stderr = process.communicate(timeout=COMMAND_TIMEOUT_S)
     assert process.returncode == 128 + number
     assert stderr == f"quota-gateway: ended by {number.name}\n"
     assert not stdout
@@ -48,9 +48,9 @@
     assert not list(tmp_path.iterdir())
 
 
-def test_a_gateway_exits_even_if_the_tool_is_killed(tmp_path: Path) -> None:
+def test_a_gateway_exits_if_the_command_is_killed(tmp_path: Path) -> None:
     with start_command(tmp_path, "demo", "--seconds", "50") as process:
         wait_for(lambda: gateway_pids(tmp_path))
         process.kill()
-        process.communicate(timeout=LIMIT_S)
+        process.communicate(timeout=COMMAND_TIMEOUT_S)
     wait_for(lambda: not gateway_pids(tmp_path))
--- a/tests/lab/cli/test_load_command.py
+++ b/tests/lab/cli/test_load_command.py
@@ -1,4 +1,4 @@
-"""`quota-gateway lab load`: several gateways, the client's own overhead, injected faults."""
+"""Tests of `quota-gateway lab load`: several gateways, the client's own overhead, injected faults."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.lab.cli.command_line import run_command
 
 
-def test_several_gateways_are_measured_beside_the_client_itself(tmp_path: Path) -> None:
+def test_several_gateways_and_the_overhead_of_the_client_are_measured(tmp_path: Path) -> None:
     path = tmp_path / "result.json"
     arguments = ("--gateways", "2", "--servers", "5", "--rate", "100", "--seconds", "1", "--json", str(path))
     command = run_command(tmp_path, "lab", "load", *arguments)
--- a/tests/lab/cli/test_main.py
+++ b/tests/lab/cli/test_main.py
@@ -1,4 +1,4 @@
-"""Bad arguments of every command: one line on standard error, exit status 2."""
+"""Tests of invalid arguments: every command prints one line on standard error and exits with status 2."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
         ["nothing"],
     ],
 )
-def test_bad_arguments_get_one_line_and_start_nothing(
+def test_invalid_arguments_are_reported_in_one_line_and_start_nothing(
     arguments: list[str], monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(sys, "argv", ["quota-gateway", *arguments])
-    # Calling it would raise TypeError, which the command line does not catch.
+    # Starting a trial would call None: a TypeError, which the command line does not catch, fails the test.
     monkeypatch.setattr("quota_gateway.lab.cli.trial_command.run_trial", None)
     with pytest.raises(SystemExit) as exit_info:
         main.main()
--- a/tests/lab/cli/test_signals.py
+++ b/tests/lab/cli/test_signals.py
@@ -1,4 +1,4 @@
-"""A signal ends a run after its clean-up."""
+"""Tests that a signal ends a run after its clean-up has completed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from quota_gateway.lab.cli.signals import TERMINATION_SIGNALS, TerminationSignalError, run_until_signal
 
 
-def test_a_run_without_a_signal_gives_its_result() -> None:
+def test_a_run_without_a_signal_returns_its_result() -> None:
     async def work() -> int:
         await asyncio.sleep(0)
         return 7
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("number", TERMINATION_SIGNALS)
-def test_a_signal_cancels_the_run_and_its_clean_up_is_waited_for(number: signal.Signals) -> None:
+def test_a_signal_cancels_the_run_and_waits_for_its_clean_up(number: signal.Signals) -> None:
     cleaned_up: list[bool] = []
 
     async def work() -> None:
