--- a/quota_gateway/lab/__init__.py
+++ b/quota_gateway/lab/__init__.py
@@ -1,1 +1,4 @@
-"""The lab: an emulator of the fleet, and real gateways with stand-ins. `run` imports none of it."""
+"""The lab: a simulator of the fleet, and tests of real gateways with fake peers.
+
+The gateway itself imports none of it.
+"""
--- a/quota_gateway/lab/machine.py
+++ b/quota_gateway/lab/machine.py
@@ -1,4 +1,4 @@
-"""The machine that figures were measured on, and its pace at that moment."""
+"""Describes the machine that figures are measured on, and its current speed."""
 
 from __future__ import annotations
 
@@ -15,22 +15,23 @@
 
 
 def reference_loop_ms() -> float:
-    """Return the processor time of a fixed loop, ms: the median of five.
+    """Return the processor time of a fixed loop in ms: the median over `REFERENCE_REPEATS` repetitions.
 
-    The pace of a shared machine changes by the minute; figures of two moments are compared by this.
+    The speed of a shared machine varies within minutes. This time makes figures measured at different moments
+    comparable.
     """
     durations = []
     for _ in range(REFERENCE_REPEATS):
-        began = time.process_time()
+        started_s = time.process_time()
         total = 0
         for i in range(REFERENCE_ITERATIONS):
             total += i & 7
-        durations.append(1000.0 * (time.process_time() - began))
+        durations.append(1000.0 * (time.process_time() - started_s))
     return round(statistics.median(durations), 3)
 
 
 def describe_machine() -> dict[str, Any]:
-    """Return the machine for a result file."""
+    """Return a description of the machine, as data for a result file."""
     return {
         "cpu": _cpu_model(),
         "cores": os.cpu_count() or 0,
@@ -43,10 +44,10 @@
 
 
 def machine_line(machine: dict[str, Any]) -> str:
-    """Return the machine of a result file in one line."""
-    pace = f"reference loop {machine['reference_ms']} ms, load {machine['load_1m']}"
+    """Format the machine description of a result file as one line."""
+    speed = f"reference loop {machine['reference_ms']} ms, load {machine['load_1m']}"
     hardware = f"{machine['cpu']}, {machine['cores']} cores"
-    return f"{hardware}, Python {machine['python']}, {machine['date']}, {pace}"
+    return f"{hardware}, Python {machine['python']}, {machine['date']}, {speed}"
 
 
 def _cpu_model() -> str:
--- a/quota_gateway/lab/tables.py
+++ b/quota_gateway/lab/tables.py
@@ -1,4 +1,4 @@
-"""Tables of figures on standard output."""
+"""Tables of figures for standard output."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 
 def standard_output() -> Console:
-    """Return standard output, wide enough for the tables where it is no terminal."""
+    """Return a console on standard output; without a terminal it is wide enough for all tables."""
     console = Console()
     return console if console.is_terminal else Console(width=WIDTH_WITHOUT_TERMINAL)
 
 
 def table(title: str, columns: Sequence[str], rows: Sequence[tuple[str, ...]]) -> Table:
-    """Return a table; the first column is aligned to the left, figures to the right."""
-    made = Table(title=title, title_justify="left", header_style="bold")
+    """Return a table whose first column is aligned to the left and all others to the right."""
+    result = Table(title=title, title_justify="left", header_style="bold")
     for number, column in enumerate(columns):
-        made.add_column(column, justify="left" if number == 0 else "right", no_wrap=True)
+        result.add_column(column, justify="left" if number == 0 else "right", no_wrap=True)
     for row in rows:
-        made.add_row(*row)
-    return made
+        result.add_row(*row)
+    return result
 
 
 def flatten(figures: dict[str, Any], prefix: str = "") -> list[tuple[str, str]]:
-    """Return the leaves of nested figures as text, by their dotted names; of a list its length."""
+    """Return the leaves of nested figures as pairs of dotted name and text; a list is given by its length."""
     rows: list[tuple[str, str]] = []
     for key, value in figures.items():
         name = f"{prefix}{key}"
--- a/quota_gateway/lab/toml_config.py
+++ b/quota_gateway/lab/toml_config.py
@@ -1,4 +1,4 @@
-"""Configuration files in TOML, decoded into typed records; errors are one line with file, line and key."""
+"""Reads TOML configuration files into typed records. Each error is one line with file, line and key."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 import msgspec
 from msgspec import Meta
 
-# Upper bounds too: a size with some noughts too many would exhaust the machine's memory before any later
-# check could say so.
+# The upper bounds catch a size with a few zeros too many, which would otherwise exhaust the machine's memory
+# before a later check reports it.
 PositiveFloat = Annotated[float, Meta(gt=0, le=1e9)]
 NonNegativeFloat = Annotated[float, Meta(ge=0, le=1e9)]
 Share = Annotated[float, Meta(ge=0, le=1)]
@@ -23,16 +23,16 @@
 
 
 class ConfigFileError(ValueError):
-    """A file that can't be used; the text is one line with file, line and key."""
+    """A file that can't be used. The message is one line with file, line and key."""
 
 
 class Table(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """A table of a file. Unknown keys are errors."""
+    """Base class of a TOML table. Unknown keys are errors."""
 
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """What is wrong with a file: the path of the key, and the reason."""
+    """An invalid value in a file: the dotted path of its key, and the reason."""
 
     key: str
     reason: str
@@ -44,14 +44,14 @@
     find_problem: Callable[[T], Problem | None],
     rename_former_keys: Callable[[dict[str, Any]], dict[str, str]] = lambda _: {},
 ) -> T:
-    """Read a file into a record and check it.
+    """Read a file into a record, and validate it.
 
     Args:
         path: the file.
-        record_type: the record that it holds.
-        find_problem: checks what the types can't express.
-        rename_former_keys: renames keys of the decoded file that have another name now; returns their paths
-            as the file writes them, by present path.
+        record_type: the type of the record.
+        find_problem: validates what the types can't express; returns None if the record is valid.
+        rename_former_keys: renames former keys in the decoded file to the current ones, in place; returns the
+            paths as written in the file, by current path, for error messages.
 
     Raises:
         ConfigFileError: the file can't be read, is not TOML, or its content is invalid.
@@ -60,10 +60,14 @@
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        found = re.search(r"^(.*) \(at line (\d+), column \d+\)$", str(error))
-        line, reason = (found[2], found[1]) if found else (str(text.count("\n") + 1), str(error))
+        if located := re.search(r"^(.*) \(at line (\d+), column \d+\)$", str(error)):
+            reason = located[1]
+            line = located[2]
+        else:  # an error at the end of the file has no line
+            reason = str(error)
+            line = str(text.count("\n") + 1)
         raise ConfigFileError(f"{path}:{line}: not TOML: {reason}") from None
-    as_written = rename_former_keys(raw)
+    written_paths = rename_former_keys(raw)
     try:
         record = msgspec.convert(raw, record_type)
     except msgspec.ValidationError as error:
@@ -73,7 +77,7 @@
         if found_problem is None:
             return record
         problem = found_problem
-    key = _key_as_written(problem.key, as_written)
+    key = _key_as_written(problem.key, written_paths)
     raise ConfigFileError(f"{path}:{_line_of(text, key)}: {key}: {problem.reason}")
 
 
@@ -87,27 +91,30 @@
 
 
 def _validation_problem(message: str) -> Problem:
-    """Return key and reason from a message of the validating library."""
+    """Return the problem that a message of msgspec's validation describes."""
     reason, _, location = message.partition(" - at `$")
     key = location.rstrip("`").lstrip(".")
-    if found := re.search(r"(unknown|required) field `([^`]+)`", reason):
-        key = f"{key}.{found[2]}" if key else found[2]
-        reason = "unknown key" if found[1] == "unknown" else "missing"
+    if field_error := re.search(r"(unknown|required) field `([^`]+)`", reason):
+        kind = field_error[1]
+        field = field_error[2]
+        key = f"{key}.{field}" if key else field
+        reason = "unknown key" if kind == "unknown" else "missing"
     return Problem(key or "the file", reason[:1].lower() + reason[1:])
 
 
-def _key_as_written(key: str, as_written: dict[str, str]) -> str:
-    """Return a key's path as the file writes it; the path may go on with an index into its value."""
+def _key_as_written(key: str, written_paths: dict[str, str]) -> str:
+    """Return a key's path as written in the file; an index at the end of the path is kept."""
     name, bracket, index = key.partition("[") if key.endswith("]") else (key, "", "")
-    return f"{as_written.get(name, name)}{bracket}{index}"
+    return f"{written_paths.get(name, name)}{bracket}{index}"
 
 
 def _line_of(text: str, key: str) -> int:
-    """Return the line of a key; of its table's header if the key is missing, 1 if that is missing too."""
-    wanted = [part for part in re.split(r"[.\[\]]+", key) if part]
+    """Return the line of a key, else the line of its table's header, else 1."""
+    wanted_path = [part for part in re.split(r"[.\[\]]+", key) if part]
     table: list[str] = []
-    last_index: dict[str, int] = {}  # of each array of tables
-    best_line, best_depth = 1, 0
+    last_index: dict[str, int] = {}  # index of the latest element, by array of tables
+    best_line = 1
+    best_depth = 0
     for number, line in enumerate(text.splitlines(), 1):
         if header := re.match(r"\s*\[\[\s*([\w.\"-]+)\s*\]\]", line):
             last_index[header[1]] = last_index.get(header[1], -1) + 1
@@ -120,6 +127,7 @@
             path = [*table, *assignment[1].replace('"', "").split(".")]
         else:
             continue
-        if path == wanted[: len(path)] and len(path) > best_depth:
-            best_line, best_depth = number, len(path)
+        if path == wanted_path[: len(path)] and len(path) > best_depth:
+            best_line = number
+            best_depth = len(path)
     return best_line
--- a/tests/lab/test_lab_run.py
+++ b/tests/lab/test_lab_run.py
@@ -1,4 +1,4 @@
-"""The command `lab run`: tables, the result file, and several seeds at once."""
+"""Tests of the command `lab run`: tables, result file, and parallel runs with several seeds."""
 
 from __future__ import annotations
 
@@ -44,11 +44,11 @@
     assert result["measured"]["module_s"] > 0
     assert result["machine"]["cores"] >= 1
     assert "rates.service" in invocation.stdout
-    assert "event=fault_injected" in invocation.stderr  # a structured line
+    assert "event=fault_injected" in invocation.stderr  # a log line in logfmt
     assert sorted(path.name for path in tmp_path.iterdir()) == ["out.json", "tiny.toml"]
 
 
-def test_several_seeds_run_in_processes_of_their_own_with_the_same_figures(tmp_path: Path) -> None:
+def test_parallel_runs_give_the_figures_of_a_run_in_this_process(tmp_path: Path) -> None:
     file, out = tmp_path / "tiny.toml", tmp_path / "out.json"
     file.write_text(SMALL)
     invocation = CliRunner().invoke(
--- a/tests/lab/test_toml_config.py
+++ b/tests/lab/test_toml_config.py
@@ -1,4 +1,4 @@
-"""Configuration files: typed records, and errors that name file, line and key."""
+"""Tests of configuration files: decoding into records, and errors that name file, line and key."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     assert str(caught.value) == f"{path}{error}"
 
 
-def test_a_problem_beyond_the_types_names_its_line(tmp_path: Path) -> None:
+def test_an_error_of_the_validation_function_names_its_line(tmp_path: Path) -> None:
     path = tmp_path / "document.toml"
     path.write_text('\nname = "a"\n')
     with pytest.raises(ConfigFileError, match=r":2: name: taken$"):
