--- a/quota_gateway/lab/scaling/fleet_load.py
+++ b/quota_gateway/lab/scaling/fleet_load.py
@@ -53,7 +53,7 @@
 
     @property
     def control_ms_per_s(self) -> float:
-        """Processor time, ms per second, that a gateway may spend on control work (all but requests)."""
+        """Processor time, ms per second, that a gateway may spend on control work."""
         return 1000.0 * self.plan.limits.control_core_share
 
     @property
--- a/quota_gateway/lab/scaling/fleet_plan.py
+++ b/quota_gateway/lab/scaling/fleet_plan.py
@@ -29,12 +29,12 @@
 class Limits(Table, frozen=True):
     """Resource limits. Each applies to one gateway unless stated otherwise."""
 
-    control_core_share: Share  # share of a core for control work: all that is not a request
+    control_core_share: Share  # share of a core for control work: ticks, counter calls, endpoint changes
     memory_mb: PositiveFloat
     control_bytes_per_s: PositiveFloat  # traffic with the counter and discovery
     control_machines: PositiveInt  # machines of the counter, for the whole fleet
     added_ms: PositiveFloat  # processor time per request
-    in_force_s: PositiveFloat  # time until all gateways apply a change
+    in_force_s: PositiveFloat  # longest time until a gateway has applied a change
 
 
 class CounterCapacity(Table, frozen=True):
--- a/tests/lab/test_lab_run.py
+++ b/tests/lab/test_lab_run.py
@@ -13,7 +13,7 @@
 from quota_gateway.lab.simulation.run_report import simulated_figures
 from quota_gateway.lab.simulation.simulation import Simulation
 
-SMALL = """
+SMALL_EXPERIMENT = """
 name = "tiny"
 seconds = 4.0
 [fleet]
@@ -33,11 +33,14 @@
 
 
 def test_a_run_writes_its_result_and_prints_tables(tmp_path: Path) -> None:
-    file, out = tmp_path / "tiny.toml", tmp_path / "out.json"
-    file.write_text(SMALL)
-    invocation = CliRunner().invoke(app, ["lab", "run", str(file), "--seed", "5", "--out", str(out)])
+    experiment_path = tmp_path / "tiny.toml"
+    result_path = tmp_path / "out.json"
+    experiment_path.write_text(SMALL_EXPERIMENT)
+    invocation = CliRunner().invoke(
+        app, ["lab", "run", str(experiment_path), "--seed", "5", "--out", str(result_path)]
+    )
     assert invocation.exit_code == 0, invocation.stderr
-    result = json.loads(out.read_text())
+    result = json.loads(result_path.read_text())
     assert result["seed"] == 5
     assert result["experiment"]["fleet"]["servers"] == 6
     assert result["simulated"]["service"]["first_tries"] > 150
@@ -49,15 +52,17 @@
 
 
 def test_parallel_runs_give_the_figures_of_a_run_in_this_process(tmp_path: Path) -> None:
-    file, out = tmp_path / "tiny.toml", tmp_path / "out.json"
-    file.write_text(SMALL)
+    experiment_path = tmp_path / "tiny.toml"
+    result_path = tmp_path / "out.json"
+    experiment_path.write_text(SMALL_EXPERIMENT)
     invocation = CliRunner().invoke(
-        app, ["lab", "run", str(file), "--repeat", "2", "--processes", "2", "--out", str(out)]
+        app,
+        ["lab", "run", str(experiment_path), "--repeat", "2", "--processes", "2", "--out", str(result_path)],
     )
     assert invocation.exit_code == 0, invocation.stderr
-    written = json.loads(out.read_text())
+    written = json.loads(result_path.read_text())
     assert [run["seed"] for run in written["runs"]] == [1, 2]
-    simulation = Simulation(load_experiment(file), 1)
+    simulation = Simulation(load_experiment(experiment_path), 1)
     simulation.run()
     assert written["runs"][0]["simulated"] == json.loads(msgspec.json.encode(simulated_figures(simulation)))
     spread = written["spread"]["service"]
