--- a/quota_gateway/lab/fakes/resp_server.py
+++ b/quota_gateway/lab/fakes/resp_server.py
@@ -1,6 +1,7 @@
-"""Fakes that speak RESP2: commands are read one by one and replies go out in their order.
+"""Base of the fakes that speak RESP2. Commands are read one by one and replied to in order.
 
-They share no code with the gateway (`quota_gateway.network.resp`), so that a fault in its encoders shows.
+The fakes share no code with the gateway (`quota_gateway.network.resp`), so a fault in the gateway's encoders
+is not hidden by the same fault in a fake.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 
 from quota_gateway.lab.fakes.loopback_server import LoopbackConnection, LoopbackServer
 
-PONG = b"+PONG\r\n"
-OK = b"+OK\r\n"
-BUSY = b"-BUSY\r\n"
-UNKNOWN_COMMAND = b"-ERR unknown command\r\n"
-CONNECTION_COMMANDS = {b"PING": PONG, b"CLIENT": OK, b"SELECT": OK}
+PONG_REPLY = b"+PONG\r\n"
+OK_REPLY = b"+OK\r\n"
+BUSY_REPLY = b"-BUSY\r\n"
+UNKNOWN_COMMAND_REPLY = b"-ERR unknown command\r\n"
+CONNECTION_COMMAND_REPLIES = {b"PING": PONG_REPLY, b"CLIENT": OK_REPLY, b"SELECT": OK_REPLY}
 
 
 def bulk_string(value: bytes) -> bytes:
@@ -25,18 +26,18 @@
 
 
 class PendingReply:
-    """A reply that is owed on a connection; until it is complete, it holds back those behind it."""
+    """The pending reply to one command. Later replies on its connection wait until it is complete."""
 
     __slots__ = ("connection", "first_on_connection", "last_on_connection", "reply")
 
     def __init__(self, connection: RespConnection, first_on_connection: bool) -> None:
         self.connection = connection
         self.first_on_connection = first_on_connection
-        self.last_on_connection = False  # the connection is closed behind this reply
-        self.reply: bytes | None = None  # None until it is complete
+        self.last_on_connection = False  # whether the connection is closed after this reply
+        self.reply: bytes | None = None  # None until the reply is complete
 
     def complete(self, reply: bytes, last_on_connection: bool = False) -> None:
-        """Set the reply; its bytes are written after those of the replies before it."""
+        """Set the encoded reply; it is written once all earlier replies are written."""
         self.reply = reply
         self.last_on_connection = last_on_connection
         self.connection.flush()
@@ -51,11 +52,16 @@
 
     @abstractmethod
     def handle_command(self, pending: PendingReply, arguments: list[bytes]) -> None:
-        """Carry out one command; `pending` is completed now or later. `arguments` has at least its name."""
+        """Carry out one command and complete `pending`, now or later.
+
+        Args:
+            pending: the reply to complete.
+            arguments: the words of the command, beginning with its name; never empty.
+        """
 
 
 class RespConnection(LoopbackConnection):
-    """A connection of a RESP fake. It is closed when something other than a command arrives."""
+    """A connection of a RESP fake. It is closed when it receives anything but a command."""
 
     def __init__(self, server: RespServer) -> None:
         super().__init__(server)
@@ -66,7 +72,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no reply is owed."""
+        """Whether no reply is pending."""
         return not self._pending
 
     def data_received(self, data: bytes) -> None:
@@ -91,7 +97,7 @@
         self._resp_server.handle_command(pending, command)
 
     def flush(self) -> None:
-        """Write the replies that are complete and next in order."""
+        """Write the complete replies up to the first incomplete one."""
         replies: list[bytes] = []
         close = False
         while self._pending and not close and (reply := self._pending[0].reply) is not None:
--- a/tests/lab/fakes/test_counter.py
+++ b/tests/lab/fakes/test_counter.py
@@ -1,4 +1,4 @@
-"""The fake counter: totals, expiry, capacity, and the faults that it shows."""
+"""The fake counter: totals, expiry, capacity, and how each injected fault appears to the caller."""
 
 from __future__ import annotations
 
@@ -14,7 +14,9 @@
 def test_the_counter_adds_amounts_and_drops_names_that_have_expired() -> None:
     async def scenario(counter: FakeCounter, client: RespClient) -> None:
         assert await client.execute(b"INCRTTL", b"a", b"2.5", b"60000") == b"2.5"
-        assert await client.execute(b"INCRTTL", b"a", b"-1", b"1") == b"1.5"  # the first call set its expiry
+        assert (
+            await client.execute(b"INCRTTL", b"a", b"-1", b"1") == b"1.5"
+        )  # keeps the expiry of the first call
         assert await client.execute(b"INCRTTL", b"b", b"1e3", b"30") == b"1000"
         assert counter.total(b"a") == 1.5
         await wait_until(lambda: counter.total(b"b") is None)
@@ -53,7 +55,7 @@
         assert replies[:2] == [b"1", b"2"]
         assert counter.rejected_count == 3
 
-    # A call takes 50 ms, so the third would be queued for 100 ms, which is too long.
+    # Each call takes 50 ms, so the third would be queued for 100 ms, longer than the limit of 75 ms.
     run_with_connection(FakeCounter(CounterModel(calls_per_s=20.0, max_queue_wait_ms=75.0)), scenario)
 
 
--- a/tests/lab/fakes/test_server.py
+++ b/tests/lab/fakes/test_server.py
@@ -1,4 +1,4 @@
-"""The fake server: its protocol, its queue, and the faults that it shows."""
+"""The fake server: its protocol, its queue, and how each injected fault appears to the caller."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "reply"),
+    ("arguments", "expected_reply"),
     [
         ([b"PING"], "PONG"),
         ([b"CLIENT", b"SETNAME", b"x"], "OK"),
@@ -42,11 +42,13 @@
         ([b"CALL.GET", CUSTOMER, b"r1", READ_FIELDS + b",units=nan"], "SYNTAX"),
     ],
 )
-def test_a_server_replies_to_commands_that_are_no_request(arguments: list[bytes], reply: str) -> None:
+def test_a_server_replies_to_commands_that_are_no_request(
+    arguments: list[bytes], expected_reply: str
+) -> None:
     async def scenario(server: FakeServer, client: RespClient) -> None:
-        found = await client.execute(*arguments)
-        assert str(found if isinstance(found, Exception) else found.decode()) == reply
-        assert server.attempt_log.malformed_commands == (reply == "SYNTAX")
+        reply = await client.execute(*arguments)
+        assert str(reply if isinstance(reply, Exception) else reply.decode()) == expected_reply
+        assert server.attempt_log.malformed_commands == (expected_reply == "SYNTAX")
         assert not server.attempt_log.attempts
 
     run_with_connection(fake_server(INSTANT), scenario)
@@ -64,12 +66,12 @@
         assert str(await third.execute(b"CALL.GET", CUSTOMER, b"late", READ_FIELDS)) == "BUSY"
         second.writer.close()
         await wait_until(lambda: len(server.connections) == 2)
-        server._finish(running)  # in place of waiting for its minute
+        server._finish(running)  # does not wait for the service time of 60 s
         assert request_id_of((await client.read_reply())[0]) == b"runs"
-        names = (b"runs", b"waits", b"late")
-        outcomes = [server.attempt_log.attempts_of(name)[0].outcome for name in names]
+        request_ids = (b"runs", b"waits", b"late")
+        outcomes = [server.attempt_log.attempts_of(request_id)[0].outcome for request_id in request_ids]
         assert outcomes == [AttemptOutcome.SERVED, AttemptOutcome.ABANDONED, AttemptOutcome.REJECTED]
-        assert [server.attempt_log.executions(name) for name in names] == [1, 0, 0]
+        assert [server.attempt_log.executions(request_id) for request_id in request_ids] == [1, 0, 0]
 
     run_with_connection(fake_server(ONE_SLOW_CORE), scenario)
 
@@ -79,8 +81,8 @@
         client.send(b"CALL.GET", CUSTOMER, b"old", READ_FIELDS)
         await wait_until(lambda: server.in_flight)
         server.draining = True
-        other = await RespClient.connect(server.port)
-        assert str(await other.execute(b"CALL.GET", CUSTOMER, b"new", READ_FIELDS)) == "BUSY"
+        second = await RespClient.connect(server.port)
+        assert str(await second.execute(b"CALL.GET", CUSTOMER, b"new", READ_FIELDS)) == "BUSY"
         assert request_id_of((await client.read_reply())[0]) == b"old"
 
     run_with_connection(fake_server(ServerModel(service_ms=30.0, variation=0.0)), scenario)
@@ -88,12 +90,13 @@
 
 def test_replies_on_a_connection_come_in_the_order_of_its_requests() -> None:
     async def scenario(server: FakeServer, client: RespClient) -> None:
-        names = [b"r%d" % number for number in range(20)]
-        for name in names:
-            client.send(b"CALL.GET", CUSTOMER, name, READ_FIELDS)
-        assert [request_id_of((await client.read_reply())[0]) for _ in names] == names
-        completed = [server.attempt_log.attempts_of(name)[0].completed_at or 0.0 for name in names]
-        assert completed != sorted(completed)  # they were carried out concurrently
+        request_ids = [b"r%d" % number for number in range(20)]
+        for request_id in request_ids:
+            client.send(b"CALL.GET", CUSTOMER, request_id, READ_FIELDS)
+        assert [request_id_of((await client.read_reply())[0]) for _ in request_ids] == request_ids
+        attempts = [server.attempt_log.attempts_of(request_id)[0] for request_id in request_ids]
+        completed = [attempt.completed_at or 0.0 for attempt in attempts]
+        assert completed != sorted(completed)  # the requests ran concurrently
 
     model = ServerModel(cores=8, service_ms=3.0, variation=1.0, queue_length=20)
     run_with_connection(fake_server(model), scenario)
