--- a/quota_gateway/lab/fakes/discovery.py
+++ b/quota_gateway/lab/fakes/discovery.py
@@ -1,8 +1,8 @@
-"""A fake of discovery: the endpoint list over HTTP/1.1, and the watch on its changes.
+"""A fake of discovery: the endpoint list over HTTP/1.1, and watches for its changes.
 
-From PROTOCOL, "Discovery". ``GET /v1/servers`` gives a snapshot; with ``since`` and ``timeout_ms`` the call
-waits for a newer version and gives a delta, or a snapshot to a caller whose version is unknown or older than
-the changes that are still kept.
+The fake follows the protocol specification of discovery. ``GET /v1/servers`` returns a snapshot. With
+``since`` and ``timeout_ms`` the call waits for a newer version and returns a delta, or a snapshot if the
+caller's version is unknown or older than the changes that are still kept.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 from quota_gateway.lab.fakes.faults import FaultKind
 from quota_gateway.lab.fakes.http_server import HttpConnection, HttpServer
 
-PATH = "/v1/servers"
-MAX_WATCH_MS = 60_000.0
+ENDPOINT_LIST_PATH = "/v1/servers"
+MAX_WATCH_TIMEOUT_MS = 60_000.0
 SUPPORTED_FAULTS = (FaultKind.RESET, FaultKind.NO_REPLY, FaultKind.DELAY, FaultKind.UNAVAILABLE)
 
 
@@ -33,13 +33,13 @@
 class WatchQuery:
     """The parameters of a call."""
 
-    since: int | None  # None: a snapshot is asked for
-    timeout_s: float
+    since: int | None  # version known to the caller; None: the caller asks for a snapshot
+    timeout_s: float  # longest wait for a newer version
 
 
 @dataclass(slots=True)
 class PendingWatch:
-    """A call that waits for a newer version."""
+    """A call that waits for a version newer than `since`."""
 
     connection: HttpConnection
     since: int
@@ -47,7 +47,7 @@
 
 
 class FakeDiscovery(HttpServer):
-    """The discovery of a run. Changes made through it are sent to pending watches at once."""
+    """The fake of discovery. Each change of the list is sent to all pending watches at once."""
 
     def __init__(self, seed: int = 0) -> None:
         super().__init__(SUPPORTED_FAULTS, seed)
@@ -67,23 +67,24 @@
         self._notify_watches()
 
     def mark_draining(self, server_id: str) -> None:
-        """List a server as draining. Raises KeyError if it is not listed."""
+        """List a server as draining. Raises KeyError if the server is not listed."""
         self.endpoints.set_state(server_id, ListedState.DRAINING)
         self._notify_watches()
 
     def remove(self, server_id: str) -> None:
-        """List a server as gone. Raises KeyError if it is not listed."""
+        """List a server as gone. Raises KeyError if the server is not listed."""
         self.endpoints.set_state(server_id, ListedState.GONE)
         self._notify_watches()
 
     def _notify_watches(self) -> None:
-        watches, self._watches = self._watches, []
+        watches = self._watches
+        self._watches = []
         for watch in watches:
             watch.timer.cancel()
             _reply_with_list(watch.connection, self.endpoints.changes_since(watch.since))
 
     def handle_request(self, connection: HttpConnection, target: str) -> None:
-        """Carry out one call, as far as no fault prevents it."""
+        """Serve one call, subject to the fault drawn for it."""
         fault = self.faults.draw()
         kind = fault.kind if fault is not None else None
         if kind is FaultKind.RESET:
@@ -97,7 +98,7 @@
 
     def _serve(self, connection: HttpConnection, target: str) -> None:
         parts = urlsplit(target)
-        if parts.path != PATH:
+        if parts.path != ENDPOINT_LIST_PATH:
             connection.reply(HTTPStatus.NOT_FOUND)
             return
         try:
@@ -114,13 +115,13 @@
             self._watches.append(PendingWatch(connection, query.since, timer))
 
     def _expire_watch(self, connection: HttpConnection) -> None:
-        """Answer a watch in whose time nothing has changed."""
+        """Reply with an empty delta to a watch that has timed out without a change."""
         (watch,) = (watch for watch in self._watches if watch.connection is connection)
         self._watches.remove(watch)
         _reply_with_list(connection, self.endpoints.changes_since(watch.since))
 
     def handle_disconnect(self, connection: HttpConnection) -> None:
-        """Drop the watch of a caller that has disconnected, if it has one."""
+        """Drop the pending watch of a disconnected caller, if there is one."""
         for watch in self._watches:
             if watch.connection is connection:
                 watch.timer.cancel()
@@ -132,11 +133,11 @@
 
 
 def _parse_query(text: str) -> WatchQuery:
-    """Parse the query of a call. Raises ValueError if it is not valid."""
+    """Parse the query of a call. Raises ValueError if the query is not valid."""
     query = parse_qs(text, strict_parsing=True) if text else {}
     if "since" not in query:
         return WatchQuery(None, 0.0)
     timeout_ms = float(query.get("timeout_ms", ["0"])[0])
     if not (math.isfinite(timeout_ms) and timeout_ms >= 0.0):
-        raise ValueError(f"timeout_ms is not a time: {timeout_ms}")
-    return WatchQuery(int(query["since"][0]), min(timeout_ms, MAX_WATCH_MS) / 1000.0)
+        raise ValueError(f"timeout_ms must be finite and at least 0, not {timeout_ms}")
+    return WatchQuery(int(query["since"][0]), min(timeout_ms, MAX_WATCH_TIMEOUT_MS) / 1000.0)
--- a/tests/lab/fakes/test_discovery.py
+++ b/tests/lab/fakes/test_discovery.py
@@ -1,4 +1,4 @@
-"""The fake discovery: snapshots, watches, and the faults that it shows."""
+"""The fake discovery: snapshots, watches, and how each injected fault appears to the caller."""
 
 from __future__ import annotations
 
@@ -35,10 +35,11 @@
         assert delta["version"] == snapshot["version"] + 1
         assert [(row["id"], row["state"]) for row in delta["servers"]] == [("s1", "Terminating")]
         discovery.remove("s0")
-        _, both = await http_get(client, query)  # at once, as there is something newer
-        assert {row["id"]: row["state"] for row in both["servers"]} == {"s0": "Gone", "s1": "Terminating"}
-        _, rest = await http_get(client)
-        assert [row["id"] for row in rest["servers"]] == ["s1"]
+        _, later_delta = await http_get(client, query)  # returns at once: there is a newer version
+        states = {row["id"]: row["state"] for row in later_delta["servers"]}
+        assert states == {"s0": "Gone", "s1": "Terminating"}
+        _, later_snapshot = await http_get(client)
+        assert [row["id"] for row in later_snapshot["servers"]] == ["s1"]
 
     run_with_connection(FakeDiscovery(), scenario)
 
@@ -48,8 +49,8 @@
         discovery.put(ListedServer("s0", "127.0.0.1:1"))
         version = discovery.endpoints.version
         began = time.monotonic()
-        _, empty = await http_get(client, f"?since={version}&timeout_ms=40")
-        assert empty == {"version": version, "full": False, "servers": []}
+        _, delta = await http_get(client, f"?since={version}&timeout_ms=40")
+        assert delta == {"version": version, "full": False, "servers": []}
         assert time.monotonic() - began >= 0.035
         discovery.endpoints._oldest_version = version
         for since in (version + 5, 0):
@@ -88,7 +89,7 @@
         discovery.faults.inject(Fault(FaultKind.UNAVAILABLE))
         assert await http_get(client) == (503, None)
         discovery.faults.clear()
-        assert (await http_get(client))[0] == 200  # on the same connection
+        assert (await http_get(client))[0] == 200  # the connection is still usable
         discovery.faults.inject(Fault(FaultKind.NO_REPLY))
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(http_get(client), NO_REPLY_WAIT_S)
