--- a/quota_gateway/lab/load/trial.py
+++ b/quota_gateway/lab/load/trial.py
@@ -1,4 +1,4 @@
-"""One trial: real gateways between an open-loop load and the fakes, and the figures that it gave."""
+"""One trial: an open-loop load on real gateways in front of the fakes, and its result."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 from quota_gateway.lab.load.testbed import LoopbackTestbed, LoopbackTestbedSpec
 from quota_gateway.lab.load.trial_result import SHOWN_OUTCOMES, GatewayResult, TrialResult
 
-MAX_OVERHEAD_LOAD_S = 2.0  # of load without a gateway
+MAX_OVERHEAD_DURATION_S = 2.0  # longest load without gateways, which measures the client's overhead
 MICROSECONDS_PER_SECOND = 1e6
-OVERHEAD_SPARE_CAPACITY = 3.0  # times the servers that this load would keep busy
+OVERHEAD_CAPACITY_FACTOR = 3.0  # capacity of the servers used without gateways, relative to the load
 
 
 @dataclass(frozen=True, slots=True)
 class _LoadMeasurement:
-    """A load that is over, and what was measured while its gateways still ran."""
+    """A finished load, and what was measured before its gateways were shut down."""
 
     client: OpenLoopClient
     summary: LoadSummary
     gateways: list[GatewayResult]
-    tool_cpu_s: float
+    tool_cpu_s: float  # CPU time of this process, which runs the client and the fakes
 
 
 async def run_trial(
@@ -42,18 +42,19 @@
     measure_overhead: bool = False,
     faults: Sequence[ScheduledFault] = (),
 ) -> TrialResult:
-    """Run one trial and end all that it started.
+    """Run one trial and stop everything that it started.
 
     Args:
         testbed_spec: the gateways and fakes to start.
         load_spec: the load to send.
-        measure_overhead: measure first what the client itself adds to the latency, without a gateway.
-        faults: the faults to inject, by times of the load.
+        measure_overhead: whether to measure the latency that the client itself adds, without a gateway,
+            before the trial's load.
+        faults: the faults to inject; their times count from the start of the load.
 
     Raises:
         GatewayError: a gateway did not start.
-        OSError: a port, process or file could not be had.
-        ScheduledFaultError: the testbed cannot show one of the faults.
+        OSError: a port, process or file was not available.
+        ScheduledFaultError: the testbed has no target for a fault, or the target does not support it.
     """
     deployment = decode_deployment(gateway_settings(testbed_spec.gateway_count))
     schedule = draw_schedule(deployment, load_spec)
@@ -62,11 +63,12 @@
     async with testbed:
         overhead = await _measure_client_overhead(testbed, load_spec) if measure_overhead else None
         attempts_before = testbed.attempt_log.count_by_outcome()
-        gateways = [gateway.address for gateway in testbed.gateways]
-        client = OpenLoopClient(gateways, schedule, testbed.attempt_log)
+        gateway_addresses = [gateway.address for gateway in testbed.gateways]
+        client = OpenLoopClient(gateway_addresses, schedule, testbed.attempt_log)
         measurement = await _measure_load(testbed, client, fault_schedule)
     for gateway_result, gateway in zip(measurement.gateways, testbed.gateways, strict=True):
-        gateway_result.exit_status, gateway_result.killed = gateway.exit_status, gateway.killed
+        gateway_result.exit_status = gateway.exit_status
+        gateway_result.killed = gateway.killed
     result = _build_result(testbed, load_spec, measurement)
     result.client_overhead_ms = overhead
     result.attempts = _count_attempts_since(testbed, attempts_before)
@@ -76,54 +78,58 @@
 
 
 async def _measure_client_overhead(testbed: LoopbackTestbed, load_spec: LoadSpec) -> Percentiles:
-    """Send the same load to servers directly: the latency added then is the client's own doing.
+    """Send a load of the same rate to the servers directly, and return the latency that the client adds.
 
-    It goes to no more servers than can carry it, so that connections are as few as they are to gateways.
+    The number of servers is limited to what the load needs, so that the client has about as few connections
+    as it has to the gateways.
     """
-    spec = LoadSpec(load_spec.rate, min(load_spec.duration_s, MAX_OVERHEAD_LOAD_S), load_spec.seed + 1)
+    spec = LoadSpec(load_spec.rate, min(load_spec.duration_s, MAX_OVERHEAD_DURATION_S), load_spec.seed + 1)
     schedule = draw_schedule(decode_deployment(gateway_settings(1)), spec)
     model = testbed.spec.server_model
-    needed = OVERHEAD_SPARE_CAPACITY * spec.rate * MEAN_UNITS * model.service_ms / 1000.0 / model.cores
-    servers = testbed.servers[: max(len(testbed.gateways), math.ceil(needed))]
-    directed = [
+    needed_servers = (
+        OVERHEAD_CAPACITY_FACTOR * spec.rate * MEAN_UNITS * model.service_ms / 1000.0 / model.cores
+    )
+    servers = testbed.servers[: max(len(testbed.gateways), math.ceil(needed_servers))]
+    requests = [
         dataclasses.replace(request, gateway_index=index % len(servers))
         for index, request in enumerate(schedule)
     ]
-    targets = [(LOOPBACK, server.port) for server in servers]
-    summary = await OpenLoopClient(targets, directed, testbed.attempt_log).run()
+    addresses = [(LOOPBACK, server.port) for server in servers]
+    summary = await OpenLoopClient(addresses, requests, testbed.attempt_log).run()
     return summary.added_latency.percentiles_ms()
 
 
 async def _measure_load(
     testbed: LoopbackTestbed, client: OpenLoopClient, fault_schedule: FaultSchedule
 ) -> _LoadMeasurement:
-    gateway_cpu_before = [gateway.cpu_time_s() for gateway in testbed.gateways]
-    tool_cpu_before = time.process_time()
+    """Run the load with its faults, and measure its cost while the gateways run."""
+    gateway_cpu_before_s = [gateway.cpu_time_s() for gateway in testbed.gateways]
+    tool_cpu_before_s = time.process_time()
     fault_schedule.start()
     try:
         async with progress_bar(client):
             summary = await client.run()
     finally:
         fault_schedule.stop()
-    tool_cpu_s = time.process_time() - tool_cpu_before
-    gateways = _gateway_results(testbed, client, gateway_cpu_before)
+    tool_cpu_s = time.process_time() - tool_cpu_before_s
+    gateways = _gateway_results(testbed, client, gateway_cpu_before_s)
     return _LoadMeasurement(client, summary, gateways, tool_cpu_s)
 
 
 def _gateway_results(
-    testbed: LoopbackTestbed, client: OpenLoopClient, cpu_before: list[float | None]
+    testbed: LoopbackTestbed, client: OpenLoopClient, cpu_before_s: list[float | None]
 ) -> list[GatewayResult]:
-    """Read the gateways' figures; their exit statuses are known later."""
-    counts = [0] * len(testbed.gateways)
+    """Return the results of the gateways measured before their shutdown; the caller adds the exit statuses."""
+    request_counts = [0] * len(testbed.gateways)
     for record in client.records:
-        counts[record.request.gateway_index] += 1
+        request_counts[record.request.gateway_index] += 1
     results = []
-    for gateway, before, count in zip(testbed.gateways, cpu_before, counts, strict=True):
-        now = gateway.cpu_time_s() if gateway.is_running() else None
+    for gateway, before_s, request_count in zip(testbed.gateways, cpu_before_s, request_counts, strict=True):
+        after_s = gateway.cpu_time_s() if gateway.is_running() else None
         result = GatewayResult(
             name=gateway.name,
-            requests=count,
-            cpu_us_per_request=_cpu_us_per_request(before, now, count),
+            requests=request_count,
+            cpu_us_per_request=_cpu_us_per_request(before_s, after_s, request_count),
             peak_memory_mib=gateway.peak_memory_mib(),
             unexpected_exit_log="" if gateway.is_running() else gateway.log_tail(),
         )
@@ -131,14 +137,14 @@
     return results
 
 
-def _cpu_us_per_request(before_s: float | None, now_s: float | None, requests: int) -> float | None:
-    if before_s is None or now_s is None or not requests:
+def _cpu_us_per_request(before_s: float | None, after_s: float | None, requests: int) -> float | None:
+    if before_s is None or after_s is None or not requests:
         return None
-    return round(MICROSECONDS_PER_SECOND * (now_s - before_s) / requests, 1)
+    return round(MICROSECONDS_PER_SECOND * (after_s - before_s) / requests, 1)
 
 
 def _count_attempts_since(testbed: LoopbackTestbed, before: dict[str, int]) -> dict[str, int]:
-    """Count attempts by outcome, without those that were made before the load."""
+    """Return the number of attempts by outcome, without the `before` counts taken ahead of the load."""
     counts = testbed.attempt_log.count_by_outcome()
     return {outcome: count - before.get(outcome, 0) for outcome, count in counts.items()}
 
