--- a/quota_gateway/lab/load/connections.py
+++ b/quota_gateway/lab/load/connections.py
@@ -1,7 +1,8 @@
 """A client's connections to the gateways.
 
-Clients behave as PROTOCOL, "Clients to gateways", asks: they keep their connections, open more when all are
-busy, and send a request again on a new connection if the gateway's close of an idle one crossed it.
+Clients follow the protocol specification for clients and gateways. They keep their connections open, open
+another one when all are busy, and resend a request on another connection if the gateway closed the idle
+connection while the request was on its way.
 """
 
 from __future__ import annotations
@@ -17,8 +18,8 @@
 from quota_gateway.lab.fakes.server import request_id_of
 from quota_gateway.lab.load.request_record import LossReason, RequestOutcome, RequestRecord
 
-MAX_CONNECTIONS = 128  # to one gateway; with all of them busy, requests are pipelined
-MIN_IDLE_BEFORE_CLOSE_S = 1.0  # a gateway closes only connections that were idle for this long
+MAX_CONNECTIONS = 128  # limit for each gateway; when all are busy, requests are pipelined
+MIN_IDLE_BEFORE_CLOSE_S = 1.0  # a gateway closes only connections that have been idle for at least this long
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,15 +27,15 @@
     """How a request ended."""
 
     outcome: RequestOutcome
-    loss_reason: LossReason | None = None  # of a lost request
+    loss_reason: LossReason | None = None  # set only if the request is lost
 
 
 class RequestTracker(Protocol):
-    """Receives the end of each request that a connection carried."""
+    """The receiver of the outcome of each request."""
 
     @property
     def stopping(self) -> bool:
-        """Whether the run is over; nothing is sent again then."""
+        """Whether the run is over, so that no request is resent."""
 
     def complete(self, record: RequestRecord, completion: Completion, now: float) -> None:
         """Record the end of a request; ignored if it has ended already."""
@@ -44,7 +45,7 @@
 
 
 def classify_reply(reply: object, request_id: bytes) -> Completion:
-    """Classify the reply to a request as PROTOCOL's first table does."""
+    """Classify the reply to a request by the reply table of the protocol specification."""
     value = reply[0] if isinstance(reply, list) and reply else reply
     if isinstance(value, bytes):
         if request_id_of(value) != request_id:
@@ -60,7 +61,7 @@
 
 
 class GatewayConnection(asyncio.Protocol):
-    """One connection to a gateway. Replies come in the order of the requests."""
+    """One connection to a gateway. Replies arrive in the order of the requests."""
 
     def __init__(self, pool: GatewayConnectionPool) -> None:
         self.closed = False
@@ -68,10 +69,10 @@
         self._pool = pool
         self._transport: asyncio.Transport | None = None
         self._reader = hiredis.Reader()
-        self._idle_since: float | None = None  # when it last became idle; None: it never was
+        self._idle_since: float | None = None  # last time it became idle; None if it has not been idle yet
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Write the requests that waited for the connection (asyncio's callback)."""
+        """Write the requests that were sent before the connection was established (asyncio's callback)."""
         self._transport = transport  # type: ignore[assignment]  # a TCP connection has a full transport
         if self.closed:
             self.abort()
@@ -79,7 +80,7 @@
             self._write(record)
 
     def send(self, record: RequestRecord) -> None:
-        """Write a request behind the pending ones, as soon as the connection is established."""
+        """Write a request after the pending ones, or once the connection is established."""
         self.pending.append(record)
         if self._transport is not None:
             self._write(record)
@@ -112,7 +113,7 @@
             self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
-        """Send requests again that the close crossed; the others are lost (asyncio's callback)."""
+        """Resend requests that crossed an idle close; all others are lost (asyncio's callback)."""
         self.closed = True
         self._pool.remove(self)
         pending, self.pending = self.pending, deque()
@@ -127,7 +128,7 @@
                 self._pool.tracker.complete(record, completion, time.monotonic())
 
     def _may_resend(self, record: RequestRecord) -> bool:
-        """Whether the gateway may have closed the connection as idle before the request reached it."""
+        """Whether the gateway may have closed the idle connection before the request reached it."""
         if record.resent_at is not None or self._pool.tracker.stopping:
             return False
         if self._idle_since is None or record.sent_at is None:
@@ -135,7 +136,7 @@
         return record.sent_at - self._idle_since > MIN_IDLE_BEFORE_CLOSE_S
 
     def abort(self) -> None:
-        """Abort the connection; its pending requests end with it."""
+        """Abort the connection. `connection_lost` then resends or loses its pending requests."""
         self.closed = True
         if self._transport is not None:
             self._transport.abort()
@@ -148,12 +149,12 @@
         self.tracker = tracker
         self._host = host
         self._port = port
-        self._idle: list[GatewayConnection] = []  # the one used last comes last
+        self._idle: list[GatewayConnection] = []  # ordered by last use, the most recent one last
         self._connections: set[GatewayConnection] = set()
         self._connecting: set[asyncio.Task[None]] = set()
 
     def send(self, record: RequestRecord) -> None:
-        """Send on an idle connection, else on a new one, else behind the fewest pending requests."""
+        """Send on an idle connection, else on a new one, else on the one with the fewest pending requests."""
         while self._idle:
             connection = self._idle.pop()
             if not connection.closed:
@@ -181,7 +182,7 @@
             connection.connection_lost(error)
 
     def add_idle(self, connection: GatewayConnection) -> None:
-        """Offer a connection for reuse."""
+        """Make an idle connection available for reuse."""
         self._idle.append(connection)
 
     def remove(self, connection: GatewayConnection) -> None:
@@ -191,9 +192,10 @@
             self._idle.remove(connection)
 
     def abandon(self, record: RequestRecord) -> None:
-        """Abort the connection on which a request is pending.
+        """Give up a request and abort the connection on which it is pending.
 
-        Its further replies could no longer be matched with requests.
+        Replies are matched with requests by their order, so the connection cannot be reused while the reply
+        to this request may still arrive.
         """
         for connection in list(self._connections):
             if record in connection.pending:
--- a/tests/lab/load/test_connections.py
+++ b/tests/lab/load/test_connections.py
@@ -1,4 +1,4 @@
-"""The client's connections: pipelining, extra replies, and requests that are sent again."""
+"""The client's connections: pipelining, extra replies, and resent requests."""
 
 from __future__ import annotations
 
@@ -37,9 +37,9 @@
 @pytest.mark.parametrize(
     ("min_idle_s", "forwarded", "served", "losses"),
     [
-        (0.0, False, 2, {}),  # a close that crossed the request: it is sent again on a new connection
+        (0.0, False, 2, {}),  # the close of the idle connection crossed the request, which is resent
         (0.0, True, 1, {LossReason.CONNECTION_CLOSED_AFTER_FORWARD: 1}),
-        (60.0, False, 1, {LossReason.CONNECTION_CLOSED: 1}),  # too soon after a reply for an idle close
+        (60.0, False, 1, {LossReason.CONNECTION_CLOSED: 1}),  # closed too soon to be an idle close
     ],
 )
 def test_a_close_loses_a_request_unless_it_crossed_it_on_an_idle_connection(
@@ -50,7 +50,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(connections, "MIN_IDLE_BEFORE_CLOSE_S", min_idle_s)
-    schedule, attempt_log = repeatable_requests(2, interval_s=0.05), AttemptLog()
+    schedule = repeatable_requests(2, interval_s=0.05)
+    attempt_log = AttemptLog()
     received: list[bytes] = []
 
     async def close_on_second(arguments: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
