--- a/quota_gateway/lab/load/trial.py
+++ b/quota_gateway/lab/load/trial.py
@@ -119,7 +119,7 @@
 def _gateway_results(
     testbed: LoopbackTestbed, client: OpenLoopClient, cpu_before_s: list[float | None]
 ) -> list[GatewayResult]:
-    """Return the results of the gateways measured before their shutdown; the caller adds the exit statuses."""
+    """Return the gateways' results before their shutdown; the caller adds the exit statuses."""
     request_counts = [0] * len(testbed.gateways)
     for record in client.records:
         request_counts[record.request.gateway_index] += 1
