--- a/quota_gateway/lab/load/schedule.py
+++ b/quota_gateway/lab/load/schedule.py
@@ -1,8 +1,8 @@
 """The arrival schedule of an open-loop load: which customer sends which request, when and to which gateway.
 
 The whole schedule is drawn before a run from a seeded Poisson process. Equal arguments give equal schedules,
-so two versions of the gateway can be compared under the same load; the order and number of the draws, and the
-texts that seed the generators, are part of that.
+so two versions of the gateway can be compared under the same load. The order and number of the draws and the
+seed strings of the generators must therefore stay the same.
 """
 
 from __future__ import annotations
@@ -20,43 +20,48 @@
 
 MAX_REQUESTS = 1_000_000
 MAX_DURATION_S = 3600.0
-MAX_RATE = 20_000.0  # requests a second
-IDEMPOTENT_SHARE = 0.8  # of the requests, where there are idempotent and other classes
-UNIT_CHOICES = (1, 1, 1, 2)  # drawn evenly
+MAX_REQUESTS_PER_S = 20_000.0
+IDEMPOTENT_SHARE = 0.8  # share of idempotent requests if the deployment has idempotent and other classes
+UNIT_CHOICES = (1, 1, 1, 2)  # drawn with equal probability
 MEAN_UNITS = sum(UNIT_CHOICES) / len(UNIT_CHOICES)
-DEMAND_WITHIN_QUOTA = 0.5  # demand over quota of most customers
-DEMAND_OVER_QUOTA = 3.0  # of those that ask for more than their quota
+DEMAND_WITHIN_QUOTA = 0.5  # demand of most customers, as a multiple of their quota
+DEMAND_OVER_QUOTA = 3.0  # demand of customers that exceed their quota, as a multiple of it
 MAX_GATEWAYS_PER_CUSTOMER = 3
-CUSTOMER_ID_LIMIT = 1 << 33  # PROTOCOL, "Clients to gateways"
-MIN_CUSTOMER_RATE = 1e-6  # keeps the sum of the rates moving towards the rate asked for
+CUSTOMER_ID_LIMIT = 1 << 33  # customer ids are below this limit of the protocol specification
+MIN_CUSTOMER_RATE = 1e-6  # least progress of each step of `draw_customers`, so that its loop ends
 
 
 class LoadSpecError(ValueError):
-    """A load that can't be run; the text is one line."""
+    """A value of a load specification is out of range. The message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadSpec:
-    """How much is sent.
+    """Rate, duration and composition of a load.
 
     Raises:
-        LoadSpecError: a figure is out of range.
+        LoadSpecError: a value is out of range.
     """
 
-    rate: float  # requests a second over all gateways
+    rate: float  # requests a second, over all gateways
     duration_s: float
     seed: int = 1
-    over_quota_share: float = 0.25  # of the customers, those that ask for more than their quota
+    over_quota_share: float = 0.25  # share of customers whose demand exceeds their quota
 
     def __post_init__(self) -> None:
         if not (math.isfinite(self.duration_s) and 0.0 < self.duration_s <= MAX_DURATION_S):
             raise LoadSpecError(
                 f"seconds must be above 0 and at most {MAX_DURATION_S:.0f}, not {self.duration_s:g}"
             )
-        if not (math.isfinite(self.rate) and 0.0 < self.rate <= MAX_RATE):
-            raise LoadSpecError(f"the rate must be above 0 and at most {MAX_RATE:.0f}, not {self.rate:g}")
+        if not (math.isfinite(self.rate) and 0.0 < self.rate <= MAX_REQUESTS_PER_S):
+            raise LoadSpecError(
+                f"the rate must be above 0 and at most {MAX_REQUESTS_PER_S:.0f}, not {self.rate:g}"
+            )
         if self.rate * self.duration_s > MAX_REQUESTS:
-            raise LoadSpecError(f"{self.rate * self.duration_s:.0f} requests are more than {MAX_REQUESTS}")
+            raise LoadSpecError(
+                f"rate times seconds must be at most {MAX_REQUESTS} requests,"
+                f" not {self.rate * self.duration_s:.0f}"
+            )
         if self.seed < 0:
             raise LoadSpecError(f"the seed must be at least 0, not {self.seed}")
         if not 0.0 <= self.over_quota_share <= 1.0:
@@ -67,13 +72,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """One customer of the deployment."""
+    """One customer, with its demand and the gateways that its requests go to."""
 
     customer_id: bytes  # 16 hex digits
     plan: str
-    rate: float  # requests a second that it asks for
-    gateways_per_customer: int  # its requests go to so many gateways in a row ...
-    first_gateway: int  # ... from this one, counted round
+    rate: float  # requests a second
+    gateways_per_customer: int  # number of consecutive gateways that receive its requests
+    first_gateway: int  # index of the first of these gateways; the indexes wrap around
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,14 +89,14 @@
     customer: Customer
     units: float
     gateway_index: int
-    command: bytes  # encoded in RESP2
-    deadline_s: float  # the client waits so long from sending
+    command: bytes  # RESP2 encoding of the request
+    deadline_s: float  # longest time that the client waits after sending
     idempotency: Idempotency
-    offset_s: float  # when it is to be sent, from the start of the run
+    offset_s: float  # intended sending time, from the start of the run
 
 
 def draw_customers(deployment: Deployment, spec: LoadSpec) -> list[Customer]:
-    """Draw customers whose demand adds up to the load's rate; that of the last one is cut to fit."""
+    """Draw customers whose rates add up to the load's rate; the rate of the last customer is cut to fit."""
     rng = random.Random(f"tenants {spec.seed}")
     gateways_per_customer = min(deployment.gateway_count, MAX_GATEWAYS_PER_CUSTOMER)
     customers: list[Customer] = []
@@ -109,23 +114,23 @@
 
 
 def _is_over_quota(index: int, share: float) -> bool:
-    """Whether the customer of this index is one of the share, which is spread evenly over the indexes."""
+    """Whether the customer of this index exceeds its quota; such customers are spread evenly by index."""
     return int((index + 1) * share + 0.5) > int(index * share + 0.5)
 
 
 def draw_schedule(deployment: Deployment, spec: LoadSpec) -> list[ScheduledRequest]:
-    """Draw the requests of a run, in the order of their sending."""
+    """Draw the requests of a run, in the order of their intended sending."""
     rng = random.Random(f"schedule {spec.seed}")
     customers = draw_customers(deployment, spec)
-    count = round(spec.rate * spec.duration_s)
-    generator = numpy.random.default_rng(spec.seed)
-    # Given their number, the events of a Poisson process are uniform and independent.
-    offsets = numpy.sort(generator.random(count)) * spec.duration_s
+    request_count = round(spec.rate * spec.duration_s)
+    arrival_rng = numpy.random.default_rng(spec.seed)
+    # For a fixed number of events, the event times of a Poisson process are independent and uniform.
+    offsets_s = numpy.sort(arrival_rng.random(request_count)) * spec.duration_s
     rates = numpy.array([customer.rate for customer in customers])
-    senders = generator.choice(len(customers), size=count, p=rates / rates.sum())
+    customer_indexes = arrival_rng.choice(len(customers), size=request_count, p=rates / rates.sum())
     return [
-        _draw_request(deployment, rng, float(offset), customers[sender])
-        for offset, sender in zip(offsets, senders, strict=True)
+        _draw_request(deployment, rng, float(offset_s), customers[customer_index])
+        for offset_s, customer_index in zip(offsets_s, customer_indexes, strict=True)
     ]
 
 
@@ -142,7 +147,7 @@
         fields += f",k={rng.getrandbits(64):016x}"
     request_id = b"%016x" % rng.getrandbits(64)
     verb = b"CALL.GET" if request_class.idempotency is Idempotency.IDEMPOTENT else b"CALL.POST"
-    # hiredis's stub asks for str, its code takes bytes as well
+    # hiredis accepts bytes, but its type stub allows only str.
     command: Any = (verb, customer.customer_id, request_id, fields.encode())
     offset_from_first = rng.randrange(customer.gateways_per_customer)
     return ScheduledRequest(
@@ -158,8 +163,12 @@
 
 
 def _draw_class(deployment: Deployment, rng: random.Random) -> ClientRequestClass:
-    """Draw a class; idempotent ones are preferred where there are others too."""
-    idempotent = [each for each in deployment.request_classes if each.idempotency is Idempotency.IDEMPOTENT]
-    other = [each for each in deployment.request_classes if each.idempotency is not Idempotency.IDEMPOTENT]
-    prefer_idempotent = idempotent and (not other or rng.random() < IDEMPOTENT_SHARE)
-    return rng.choice(idempotent if prefer_idempotent else other)
+    """Draw a request class; an idempotent one with `IDEMPOTENT_SHARE` if there are also other classes."""
+    idempotent_classes = [
+        each for each in deployment.request_classes if each.idempotency is Idempotency.IDEMPOTENT
+    ]
+    other_classes = [
+        each for each in deployment.request_classes if each.idempotency is not Idempotency.IDEMPOTENT
+    ]
+    draw_idempotent = idempotent_classes and (not other_classes or rng.random() < IDEMPOTENT_SHARE)
+    return rng.choice(idempotent_classes if draw_idempotent else other_classes)
--- a/tests/lab/load/test_schedule.py
+++ b/tests/lab/load/test_schedule.py
@@ -1,4 +1,4 @@
-"""The arrival schedule: reproducible, at the rate asked for, with the demand asked for."""
+"""The arrival schedule: reproducibility, request rate, and customers over their quota."""
 
 from __future__ import annotations
 
@@ -28,17 +28,18 @@
 
 def test_equal_seeds_give_equal_schedules_at_the_rate_asked_for() -> None:
     specs = (LoadSpec(500.0, 4.0, seed=7), LoadSpec(500.0, 4.0, seed=7), LoadSpec(500.0, 4.0, seed=8))
-    one, same, other = (draw_schedule(DEPLOYMENT, spec) for spec in specs)
-    offsets = [request.offset_s for request in one]
-    assert [request.command for request in one] == [request.command for request in same]
-    assert offsets == [request.offset_s for request in same] != [request.offset_s for request in other]
-    assert len(one) == 2000
+    first, same_seed, other_seed = (draw_schedule(DEPLOYMENT, spec) for spec in specs)
+    offsets = [request.offset_s for request in first]
+    assert [request.command for request in first] == [request.command for request in same_seed]
+    assert offsets == [request.offset_s for request in same_seed]
+    assert offsets != [request.offset_s for request in other_seed]
+    assert len(first) == 2000
     assert 0.0 <= offsets[0] <= offsets[-1] < 4.0
     gaps = sorted(later - earlier for earlier, later in pairwise(offsets))
-    assert gaps[1000] == pytest.approx(0.69 / 500.0, rel=0.15)  # the median of an exponential distribution
-    assert len({request.request_id for request in one}) == 2000
-    assert 0.7 < sum(b"CALL.GET" in request.command for request in one) / 2000 < 0.9
-    assert set(Counter(request.gateway_index for request in one)) == {0, 1, 2}
+    assert gaps[1000] == pytest.approx(0.69 / 500.0, rel=0.15)  # median of an exponential distribution
+    assert len({request.request_id for request in first}) == 2000
+    assert 0.7 < sum(b"CALL.GET" in request.command for request in first) / 2000 < 0.9
+    assert set(Counter(request.gateway_index for request in first)) == {0, 1, 2}
 
 
 @pytest.mark.parametrize("earlier", EARLIER_SCHEDULES)
