--- a/quota_gateway/lab/load/report.py
+++ b/quota_gateway/lab/load/report.py
@@ -1,4 +1,4 @@
-"""A trial's result as tables for a terminal."""
+"""Formats the result of a trial as tables for a terminal."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def outcome_table(result: TrialResult) -> Table:
-    """Return the requests by outcome, with their latency."""
+    """Return a table of the requests by outcome, with their latency."""
     table = _table(_title(result), "outcome", ["requests", "share", "p50 ms", "p99 ms"])
     for outcome, count in result.outcomes.items():
         share = f"{count / result.requests:.1%}" if result.requests else "-"
@@ -44,7 +44,7 @@
 
 
 def added_latency_table(result: TrialResult) -> Table:
-    """Return what the gateways add to the time at servers, beside what the client adds by itself."""
+    """Return a table of the latency added by the gateways, with the client's own overhead and send delay."""
     table = _table("Latency added to the time at servers, ms", "", list(PERCENTILE_NAMES))
     rows = {
         "with gateway": result.added_latency_ms,
@@ -53,12 +53,13 @@
     }
     for name, percentiles in rows.items():
         if percentiles is not None:
-            table.add_row(name, *(_milliseconds(percentiles[each]) for each in PERCENTILE_NAMES))
+            cells = [_milliseconds(percentiles[percentile]) for percentile in PERCENTILE_NAMES]
+            table.add_row(name, *cells)
     return table
 
 
 def gateway_table(result: TrialResult) -> Table:
-    """Return the resources that each gateway used."""
+    """Return a table of the resources that each gateway used."""
     tool_share = f"{result.tool_cpu_s / result.duration_s:.0%}"
     title = f"Gateways (client and fakes beside them: {tool_share} of a core)"
     table = _table(title, "name", ["requests", "CPU us/request", "memory MiB", "exit status"])
@@ -71,13 +72,13 @@
 
 
 def attempt_line(result: TrialResult) -> str:
-    """Return one line on the attempts at servers."""
+    """Return one line with the number of attempts at servers by outcome."""
     counts = ", ".join(f"{count} {name}" for name, count in sorted(result.attempts.items()) if count)
     return f"Attempts at servers: {counts or 'none'}"
 
 
 def quota_line(result: TrialResult) -> str:
-    """Return one line on how the quotas were kept."""
+    """Return one line with the requests forwarded over quota and rejected within quota."""
     audit = result.quota_audit
     return (
         f"Forwarded: {audit.forwarded} ({audit.forwarded_over_quota} over quota). "
@@ -86,14 +87,14 @@
 
 
 def violation_lines(result: TrialResult) -> list[str]:
-    """Return one line for each thing that should not happen; none after a trial that passed in time."""
+    """Return one line for each violation; none after a trial that passed without late replies."""
     lines = [f"lost: {count} ({reason})" for reason, count in sorted(result.losses.items())]
     counts = {
-        "replies beyond the one that a request is owed": result.extra_replies,
+        "extra replies, for which no request was pending": result.extra_replies,
         "non-idempotent requests were carried out more than once": result.duplicate_executions,
         "replies came after their deadline": result.late,
     }
-    lines += [f"{count} {what}" for what, count in counts.items() if count]
+    lines += [f"{count} {violation}" for violation, count in counts.items() if count]
     for gateway in result.gateways:
         lines += _exit_violations(gateway)
     if not result.outcomes["served"]:
@@ -117,10 +118,10 @@
     )
 
 
-def _table(title: str, first_column: str, figure_columns: list[str]) -> Table:
+def _table(title: str, first_column: str, numeric_columns: list[str]) -> Table:
     table = Table(title=title, title_justify="left")
     table.add_column(first_column)
-    for column in figure_columns:
+    for column in numeric_columns:
         table.add_column(column, justify="right")
     return table
 
--- a/tests/lab/load/test_report.py
+++ b/tests/lab/load/test_report.py
@@ -1,4 +1,4 @@
-"""A trial's result as tables: every outcome has a label, and nothing is wider than a terminal."""
+"""The report of a trial: every outcome has a label, and no line is wider than a terminal."""
 
 from __future__ import annotations
 
