--- a/quota_gateway/lab/load/testbed.py
+++ b/quota_gateway/lab/load/testbed.py
@@ -1,4 +1,4 @@
-"""Real gateways and the fakes around them on loopback, for as long as a trial lasts."""
+"""Real gateways and the fakes of their peers on loopback, for the duration of a trial."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoopbackTestbedSpec:
-    """What a testbed consists of.
+    """The number of gateways and servers of a testbed, and the models of the fakes.
 
     Raises:
-        ValueError: a number is out of range.
+        ValueError: a number of gateways or servers is out of range.
     """
 
     gateway_count: int = 1
@@ -46,11 +46,13 @@
 
 
 class LoopbackTestbed:
-    """An async context manager that starts everything and always ends everything that it started.
+    """An async context manager that starts gateways and fakes on entry and stops all of them on exit.
+
+    If the start fails, everything that has been started is stopped before the error is raised.
 
     Raises:
-        GatewayError: on entry, a gateway did not start.
-        OSError: on entry, there is no port or no temporary directory.
+        GatewayError: on entry, if a gateway did not start.
+        OSError: on entry, if no port or no temporary directory is available.
     """
 
     def __init__(self, spec: LoopbackTestbedSpec) -> None:
@@ -67,7 +69,7 @@
 
     @property
     def fakes(self) -> list[LoopbackServer]:
-        """All fakes."""
+        """The fake servers, counter and discovery."""
         return [*self.servers, self.counter, self.discovery]
 
     async def __aenter__(self) -> LoopbackTestbed:
@@ -96,15 +98,15 @@
         await self._wait_until_ready()
 
     async def _wait_until_ready(self) -> None:
-        waits = [asyncio.ensure_future(gateway.wait_until_ready()) for gateway in self.gateways]
+        readiness_tasks = [asyncio.ensure_future(gateway.wait_until_ready()) for gateway in self.gateways]
         try:
-            await asyncio.gather(*waits)
+            await asyncio.gather(*readiness_tasks)
         finally:
-            for wait in waits:
-                wait.cancel()
+            for task in readiness_tasks:
+                task.cancel()
 
     def gateway_config(self, index: int) -> dict[str, Any]:
-        """Return a gateway's configuration (DEPLOY) but for its name and address."""
+        """Return a gateway's configuration without its name and listen address."""
         return {
             "discovery": self.discovery.address,
             "counter": self.counter.address,
@@ -115,14 +117,14 @@
         }
 
     async def stop(self) -> None:
-        """Shut the gateways down as a planned restart does, then stop the fakes. May be called again."""
+        """Shut the gateways down as in a planned restart, then stop the fakes. Further calls do no harm."""
         try:
             for gateway in self.gateways:
                 gateway.terminate()
             await asyncio.gather(*(gateway.wait_for_exit() for gateway in self.gateways))
         finally:
             for gateway in self.gateways:
-                gateway.kill()  # for when the wait itself was cancelled
+                gateway.kill()  # a cancelled `wait_for_exit` leaves its gateway running
             for fake in self.fakes:
                 await fake.stop()
             if self._directory is not None:
--- a/tests/lab/load/test_testbed.py
+++ b/tests/lab/load/test_testbed.py
@@ -1,4 +1,4 @@
-"""The testbed ends everything that it started, also when a gateway does not start or does not exit."""
+"""The testbed stops everything that it started, even if a gateway does not start or does not exit."""
 
 from __future__ import annotations
 
