--- a/quota_gateway/lab/load/client.py
+++ b/quota_gateway/lab/load/client.py
@@ -1,8 +1,8 @@
 """Open-loop load on gateways, without coordinated omission.
 
-The schedule is drawn before the run and does not wait for replies: a gateway that stalls meets the requests
-of the stall all the same. Latency counts from the intended moment of sending to the last byte of the reply,
-so a delay of this client is in it too (see `LoadSummary.send_delay`).
+The schedule is drawn before the run and does not wait for replies, so requests keep arriving at a gateway
+that stalls. Latency is the time from the intended sending to the last byte of the reply. It therefore
+includes delays of this client, which `LoadSummary.send_delay` shows.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from quota_gateway.lab.load.schedule import ScheduledRequest
 from quota_gateway.lab.load.summary import LoadSummary
 
-START_DELAY_S = 0.05  # between the start of a run and its first request
-REPLY_GRACE_S = 1.0  # a request is waited for so long past its deadline, then it counts as lost
+START_DELAY_S = 0.05  # time between the call of `run` and offset 0 of the schedule
+REPLY_GRACE_S = 1.0  # a request without a reply counts as lost this long after its deadline
 
 
 class OpenLoopClient:
-    """One run of a schedule.
+    """A client that sends the requests of one schedule.
 
     Args:
-        gateways: host and port of each gateway, in the order of their numbers.
-        schedule: the requests, in the order of their sending.
-        attempt_log: what the fake servers have recorded, for the summary.
+        gateways: host and port of each gateway, in the order of their indexes.
+        schedule: the requests, in the order of their offsets.
+        attempt_log: the log of the fake servers, read for the summary after the run.
     """
 
     def __init__(
@@ -49,7 +49,10 @@
         self._deadline_timers: dict[RequestRecord, asyncio.TimerHandle] = {}
 
     async def run(self) -> LoadSummary:
-        """Send all requests and wait for their ends; bounded by the schedule and the deadlines."""
+        """Send all requests and wait until each has a reply or is lost.
+
+        The run ends at the latest `REPLY_GRACE_S` after the last deadline.
+        """
         started_at = time.monotonic() + START_DELAY_S
         for record in self.records:
             record.scheduled_at = started_at + record.request.offset_s
@@ -68,9 +71,10 @@
         return self._summary
 
     def _pace(self) -> None:
-        """Hand each request to the event loop when it is to be sent.
+        """Pass each request to the event loop at its intended sending time.
 
-        This is a thread, as a thread's wait is finer than the millisecond of the loop's timers.
+        Runs in a thread of its own, since waits of a thread are more precise than the event loop's timers,
+        whose resolution is one millisecond.
         """
         for record in self.records:
             wait_s = record.scheduled_at - time.monotonic()
@@ -81,8 +85,8 @@
     def _send(self, record: RequestRecord) -> None:
         if self.stopping:
             return
-        deadline = record.scheduled_at + record.request.deadline_s + REPLY_GRACE_S
-        remaining_s = max(0.0, deadline - time.monotonic())
+        expires_at = record.scheduled_at + record.request.deadline_s + REPLY_GRACE_S
+        remaining_s = max(0.0, expires_at - time.monotonic())
         self._deadline_timers[record] = self._loop.call_later(remaining_s, self._expire, record)
         self._pools[record.request.gateway_index].send(record)
 
--- a/tests/lab/load/harness.py
+++ b/tests/lab/load/harness.py
@@ -1,4 +1,4 @@
-"""What the tests of the load share: small schedules, and a load on a scripted gateway."""
+"""Shared helpers of the load tests' tests: small schedules, and a load on a scripted gateway."""
 
 from __future__ import annotations
 
@@ -18,7 +18,13 @@
 
 
 def repeatable_requests(count: int, interval_s: float = 0.0, **changes: Any) -> list[ScheduledRequest]:
-    """Return requests for gateway 0 at equal intervals; none is non-idempotent."""
+    """Return idempotent and keyed requests for gateway 0, at equal intervals.
+
+    Args:
+        count: number of requests.
+        interval_s: time between the intended sending of two requests.
+        **changes: other values for fields of `ScheduledRequest`.
+    """
     drawn = draw_schedule(DEPLOYMENT, LoadSpec(1000.0, 1.0))
     repeatable = [each for each in drawn if each.idempotency is not Idempotency.NON_IDEMPOTENT]
     return [
@@ -28,14 +34,14 @@
 
 
 def encode_value(arguments: list[bytes]) -> bytes:
-    """Encode a value that was made for a request."""
+    """Encode the value for a request, given the arguments of its command."""
     return b"$%d\r\n%b x\r\n" % (len(arguments[2]) + 2, arguments[2])
 
 
 def run_load(
     reply: Reply | None, schedule: list[ScheduledRequest], attempt_log: AttemptLog | None = None
 ) -> LoadSummary:
-    """Run a load on a scripted gateway; None stands for a gateway that does not listen."""
+    """Run a load on a scripted gateway; with `reply` None, the gateway does not listen."""
     summaries: list[LoadSummary] = []
 
     async def scenario() -> None:
--- a/tests/lab/load/test_client.py
+++ b/tests/lab/load/test_client.py
@@ -1,4 +1,4 @@
-"""The open-loop client against gateways that misbehave: what it counts, and from when."""
+"""The open-loop client with misbehaving gateways: outcomes, losses, and the start of the latency."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     async def stall(arguments: list[bytes], writer: asyncio.StreamWriter) -> bytes:
         received.append(arguments[2])
         if len(received) == 40:
-            await asyncio.sleep(0.1)  # the last one's stall; all others waited longer
+            await asyncio.sleep(0.1)  # stalls the last request for 0.1 s and all earlier ones for longer
             all_received.set()
         await all_received.wait()
         return encode_value(arguments)
@@ -28,8 +28,8 @@
     summary = run_load(stall, repeatable_requests(40, interval_s=0.005))
     assert summary.counts[RequestOutcome.SERVED] == 40
     latency = summary.latency[RequestOutcome.SERVED]
-    assert latency.min_us >= 99_000  # of the last
-    assert latency.max_us >= 290_000  # of the first, sent 195 ms before the last
+    assert latency.min_us >= 99_000  # latency of the last request
+    assert latency.max_us >= 290_000  # latency of the first request, sent 195 ms before the last
     assert latency.percentile_us(50.0) >= 190_000
 
 
