--- a/quota_gateway/lab/load/deployment.py
+++ b/quota_gateway/lab/load/deployment.py
@@ -1,7 +1,7 @@
-"""The deployment that the demo and the load test run on, and the part of its settings that clients need.
+"""The deployment of the demo and the load test, and the part of its settings that clients need.
 
-The keys are those of WIRE, section 8. The figures are this project's own: quotas small enough for rejections
-to show within seconds, and servers that can carry what the quotas admit.
+The keys of the settings are those of the simulator wire specification. The quotas are small enough for
+rejections to appear within seconds, and the servers can carry all requests that the quotas admit.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 
 
 class QuotaPlan(msgspec.Struct, frozen=True):
-    """One plan (`packages`): its quota holds for each customer over all gateways together."""
+    """One plan (`packages`). Its quota applies to each customer, over all gateways together."""
 
     name: str
-    rate: float = msgspec.field(name="per_second", default=0.0)  # units a second; 0: no quota
-    burst: float = msgspec.field(name="most_at_once", default=0.0)  # units
+    rate: float = msgspec.field(name="per_second", default=0.0)  # units a second; 0 means no quota
+    burst: float = msgspec.field(name="most_at_once", default=0.0)  # capacity of the token bucket, in units
 
 
 class ClientRequestClass(msgspec.Struct, frozen=True):
-    """One class of requests (`profiles`), as clients know it."""
+    """One class of requests (`profiles`), reduced to what clients need."""
 
     name: str
-    repeat: str
-    deadline_ms: float = msgspec.field(name="hard_limit_ms")  # the client waits so long from sending
+    repeat: str  # a key of `IDEMPOTENCY_NAMES`; any other value counts as non-idempotent
+    deadline_ms: float = msgspec.field(name="hard_limit_ms")  # longest time that a client waits after sending
 
     @property
     def idempotency(self) -> Idempotency:
-        """Whether a request may be carried out more than once."""
+        """Whether a request of this class may run more than once."""
         return IDEMPOTENCY_NAMES.get(self.repeat, Idempotency.NON_IDEMPOTENT)
 
 
 class Deployment(msgspec.Struct, frozen=True):
-    """What clients need of the settings; all other keys are ignored."""
+    """The part of the settings that clients need; all other keys are ignored."""
 
     plans: list[QuotaPlan] = msgspec.field(name="packages")
     request_classes: list[ClientRequestClass] = msgspec.field(name="profiles")
@@ -45,15 +45,23 @@
 
 
 def decode_deployment(settings: dict[str, Any]) -> Deployment:
-    """Decode the clients' part of the settings. Raises ValueError, with the key, if it is not usable."""
-    deployment = msgspec.convert(settings, Deployment)  # its ValidationError is a ValueError
+    """Decode the part of the settings that clients need.
+
+    Raises:
+        ValueError: a key is missing or has a wrong type, or there is no plan, no request class or no gateway.
+    """
+    # msgspec's ValidationError is a ValueError whose message names the key.
+    deployment = msgspec.convert(settings, Deployment)
     if not deployment.plans or not deployment.request_classes or deployment.gateway_count < 1:
-        raise ValueError("the settings name no plan, no class or no gateway")
+        raise ValueError(
+            "the settings must have at least one plan (packages), one request class (profiles)"
+            " and one gateway (balancers)"
+        )
     return deployment
 
 
 def gateway_settings(gateway_count: int, gateway_index: int = 0) -> dict[str, Any]:
-    """Return the settings of one of several gateways, as its configuration file holds them."""
+    """Return the settings of one gateway, with the keys of its configuration file."""
     return {
         "areas": ["a"],
         "balancers": gateway_count,
--- a/quota_gateway/lab/load/quota_audit.py
+++ b/quota_gateway/lab/load/quota_audit.py
@@ -1,10 +1,10 @@
-"""An audit of how the quotas were kept, replayed from what reached the servers.
+"""An audit of how well the quotas were kept, by a replay of the requests that reached the servers.
 
-The rules of WIRE, section 8 (`packages`): a customer's token bucket starts full, holds `most_at_once` units
-and fills by `per_second`. A request takes its units when its first attempt has reached a server, and is
-within quota if the bucket held them then; one that is forwarded over quota takes nothing. No gateway
-can know the bucket's level of the moment, so some rejections within quota are unavoidable; their number
-shows how much one gateway is better at it than another.
+The rules are those of the simulator wire specification for `packages`. A customer's token bucket starts full,
+holds `most_at_once` units and is refilled at `per_second` units a second. A request is within quota if the
+bucket holds its units when its first attempt reaches a server, and then takes them. A request that is
+forwarded over quota takes nothing. No gateway knows the current level of a bucket, so some rejections within
+quota are unavoidable; their number serves to compare gateways.
 """
 
 from __future__ import annotations
@@ -20,7 +20,8 @@
 from quota_gateway.lab.load.request_record import RequestOutcome, RequestRecord
 
 REJECTED_OUTCOMES = (RequestOutcome.REJECTED_WITH_RETRY_AFTER, RequestOutcome.REJECTED)
-# BENCH, `refused_with_room_share`: a rejection is unnecessary from this level over burst.
+# A rejection within quota counts as unnecessary if at least this share of the burst is unused. The capacity
+# target `refused_with_room_share` uses the same limit.
 UNUSED_BURST_SHARE = 0.5
 
 
@@ -33,35 +34,37 @@
     updated_at: float  # seconds of `time.monotonic`
 
     def refill(self, now: float) -> None:
-        """Bring the level up to a moment, no earlier than the last one."""
-        gained = self.plan.rate * (now - self.updated_at)
-        self.level = min(self.plan.burst, self.level + gained)
+        """Add the units gained since the last refill; `now` must not be earlier than that."""
+        gained_units = self.plan.rate * (now - self.updated_at)
+        self.level = min(self.plan.burst, self.level + gained_units)
         self.updated_at = now
 
 
 class QuotaAudit(msgspec.Struct):
-    """How the quotas were kept. Requests of plans without a quota don't count.
+    """Numbers of requests forwarded and rejected, within and over quota.
 
-    The names of the result file are those of earlier versions.
+    Requests of plans without a quota are not counted. The keys in the result file are those of earlier
+    versions, so that files of all versions can be compared.
     """
 
     forwarded_within_quota: int = msgspec.field(name="inside", default=0)
     forwarded_over_quota: int = msgspec.field(name="beyond", default=0)
     rejected_within_quota: int = msgspec.field(name="refused_with_room", default=0)
-    rejected: int = msgspec.field(name="refused", default=0)  # all of them
-    rejected_unnecessarily: int = msgspec.field(name="refused_half_full", default=0)  # much was unused
+    rejected: int = msgspec.field(name="refused", default=0)  # within and over quota
+    # Rejections within quota with at least `UNUSED_BURST_SHARE` of the burst unused.
+    rejected_unnecessarily: int = msgspec.field(name="refused_half_full", default=0)
 
     @property
     def forwarded(self) -> int:
-        """Requests that reached a server."""
+        """Number of requests that reached a server."""
         return self.forwarded_within_quota + self.forwarded_over_quota
 
 
 @dataclass(frozen=True, slots=True)
 class _Decision:
-    """A gateway's decision on a request: when it was first forwarded, or rejected without that."""
+    """A gateway's decision to forward a request, or to reject it without an attempt."""
 
-    at: float
+    decided_at: float  # arrival of the first attempt, or time of the rejection; seconds of `time.monotonic`
     record: RequestRecord
     forwarded: bool
 
@@ -69,29 +72,30 @@
 def audit_quotas(
     deployment: Deployment, records: Iterable[RequestRecord], attempt_log: AttemptLog
 ) -> QuotaAudit:
-    """Replay a run that is over."""
+    """Replay the quotas of a finished run."""
     plans = {plan.name: plan for plan in deployment.plans if plan.rate}
     audit = QuotaAudit()
     buckets: dict[bytes, TokenBucket] = {}
-    for decision in sorted(_decisions(records, attempt_log), key=attrgetter("at")):
+    for decision in sorted(_decisions(records, attempt_log), key=attrgetter("decided_at")):
         request = decision.record.request
         plan = plans.get(request.customer.plan)
         if plan is None:
             continue
-        full = TokenBucket(plan, plan.burst, decision.at)
-        bucket = buckets.setdefault(request.customer.customer_id, full)
-        bucket.refill(decision.at)
-        _count(audit, bucket, request.units, decision.forwarded)
+        full_bucket = TokenBucket(plan, plan.burst, decision.decided_at)
+        bucket = buckets.setdefault(request.customer.customer_id, full_bucket)
+        bucket.refill(decision.decided_at)
+        _count_decision(audit, bucket, request.units, decision.forwarded)
     return audit
 
 
-def _count(audit: QuotaAudit, bucket: TokenBucket, units: float, forwarded: bool) -> None:
+def _count_decision(audit: QuotaAudit, bucket: TokenBucket, units: float, forwarded: bool) -> None:
+    """Count one decision in the audit; a request forwarded within quota takes its units from the bucket."""
     within_quota = bucket.level >= units
     if not forwarded:
         audit.rejected += 1
         audit.rejected_within_quota += within_quota
-        unused = bucket.level >= UNUSED_BURST_SHARE * bucket.plan.burst
-        audit.rejected_unnecessarily += within_quota and unused
+        mostly_unused = bucket.level >= UNUSED_BURST_SHARE * bucket.plan.burst
+        audit.rejected_unnecessarily += within_quota and mostly_unused
     elif within_quota:
         audit.forwarded_within_quota += 1
         bucket.level -= units
@@ -100,6 +104,7 @@
 
 
 def _decisions(records: Iterable[RequestRecord], attempt_log: AttemptLog) -> Iterable[_Decision]:
+    """Yield the decision on each request that was forwarded or rejected."""
     for record in records:
         attempts = attempt_log.attempts_of(record.request.request_id)
         if attempts:
--- a/tests/lab/load/test_deployment.py
+++ b/tests/lab/load/test_deployment.py
@@ -1,4 +1,4 @@
-"""The clients' part of the settings."""
+"""Decoding of the settings that clients need: unusable settings are rejected."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
     ("settings", "message"),
     [
         ({}, "missing required field `packages`"),
-        ({"packages": [], "profiles": []}, "no plan, no class or no gateway"),
+        (
+            {"packages": [], "profiles": []},
+            r"at least one plan \(packages\), one request class \(profiles\) and one gateway \(balancers\)",
+        ),
         ({"packages": [{"name": 5}]}, "packages"),
     ],
 )
--- a/tests/lab/load/test_quota_audit.py
+++ b/tests/lab/load/test_quota_audit.py
@@ -1,4 +1,4 @@
-"""The audit replays the quotas from what reached the servers."""
+"""The quota audit: requests are counted within or over quota by a replay of the token bucket."""
 
 from __future__ import annotations
 
@@ -17,15 +17,24 @@
     schedule = draw_schedule(deployment, LoadSpec(1.0, 7.0, over_quota_share=0.0))
     attempt_log = AttemptLog()
     records = []
-    # Seconds, units, and whether it was forwarded; the bucket holds 2, 0, 0.5, 1.5, 2 (its burst), 0.1 then.
-    steps = [(0.0, 2, True), (0.0, 1, True), (0.5, 1, False), (1.5, 1, False), (9.0, 2, True), (9.1, 1, True)]
-    for drawn, (at, units, forwarded) in zip(schedule, steps, strict=False):
+    # Each decision has a time in seconds, the units, and whether the request was forwarded. Before the
+    # decisions the bucket holds 2, 0, 0.5, 1.5, 2 (the burst) and 0.1 units.
+    decisions = [
+        (0.0, 2, True),
+        (0.0, 1, True),
+        (0.5, 1, False),
+        (1.5, 1, False),
+        (9.0, 2, True),
+        (9.1, 1, True),
+    ]
+    for drawn, (decided_at, units, forwarded) in zip(schedule, decisions, strict=False):
         request = dataclasses.replace(drawn, customer=schedule[0].customer, units=float(units))
-        record = RequestRecord(request, scheduled_at=at)
+        record = RequestRecord(request, scheduled_at=decided_at)
         if forwarded:
-            attempt_log.record(Attempt(request.request_id, "s0", at))
+            attempt_log.record(Attempt(request.request_id, "s0", decided_at))
         else:
-            record.outcome, record.completed_at = RequestOutcome.REJECTED_WITH_RETRY_AFTER, at
+            record.outcome = RequestOutcome.REJECTED_WITH_RETRY_AFTER
+            record.completed_at = decided_at
         records.append(record)
     assert audit_quotas(deployment, records, attempt_log) == QuotaAudit(
         forwarded_within_quota=2,
