--- a/quota_gateway/lab/load/fault_schedule.py
+++ b/quota_gateway/lab/load/fault_schedule.py
@@ -15,22 +15,22 @@
 from quota_gateway.lab.load.scheduled_fault import ScheduledFault, ScheduledFaultError
 from quota_gateway.lab.load.testbed import LoopbackTestbed
 
-ALL_SERVERS = "servers"
-COUNTER = "counter"
-DISCOVERY = "discovery"
+ALL_SERVERS_TARGET = "servers"
+COUNTER_TARGET = "counter"
+DISCOVERY_TARGET = "discovery"
 
 
 @dataclass(frozen=True, slots=True)
 class _Step:
-    at_s: float  # from the load's start
+    at_s: float  # time from the start of the load
     apply: Callable[[], None]
 
 
 class FaultSchedule:
-    """The faults of one testbed.
+    """The faults to inject into one testbed, and when.
 
     Raises:
-        ScheduledFaultError: the testbed has no such target, or the target cannot show such a fault.
+        ScheduledFaultError: the testbed has no such target, or the target does not support the fault.
     """
 
     def __init__(self, testbed: LoopbackTestbed, faults: Iterable[ScheduledFault]) -> None:
@@ -41,13 +41,13 @@
             self._add(fault)
 
     def start(self) -> None:
-        """Start the schedule; the load begins now."""
+        """Start the schedule, at the same time as the load. Runs inside an event loop."""
         loop = asyncio.get_running_loop()
         finite = [step for step in self._steps if math.isfinite(step.at_s)]
         self._timers = [loop.call_later(step.at_s, step.apply) for step in finite]
 
     def stop(self) -> None:
-        """Cancel what has not begun or ended yet; active faults stay."""
+        """Cancel all steps that are still to come. Faults that are active stay active."""
         for timer in self._timers:
             timer.cancel()
 
@@ -61,7 +61,9 @@
             return
         for injector in self._target_injectors(scheduled):
             if fault.kind not in injector.supported:
-                raise ScheduledFaultError(f"{scheduled.text!r}: {scheduled.target} can't show this kind")
+                raise ScheduledFaultError(
+                    f"{scheduled.text!r}: {scheduled.target} does not support the fault {fault.kind.value!r}"
+                )
             self._add_steps(scheduled, partial(injector.inject, fault), partial(injector.remove, fault))
 
     def _add_steps(
@@ -71,15 +73,18 @@
 
     def _target_servers(self, scheduled: ScheduledFault) -> list[FakeServer]:
         target = scheduled.target
-        servers = [server for server in self._testbed.servers if target in (ALL_SERVERS, server.name)]
+        servers = [server for server in self._testbed.servers if target in (ALL_SERVERS_TARGET, server.name)]
         if not servers:
-            raise ScheduledFaultError(f"{scheduled.text!r}: there is no {target!r} for it")
+            raise ScheduledFaultError(
+                f"{scheduled.text!r}: unknown target {target!r}; it must be {ALL_SERVERS_TARGET!r},"
+                f" the name of a server, or (not for a drain) {COUNTER_TARGET!r} or {DISCOVERY_TARGET!r}"
+            )
         return servers
 
     def _target_injectors(self, scheduled: ScheduledFault) -> list[FaultInjector]:
-        if scheduled.target == COUNTER:
+        if scheduled.target == COUNTER_TARGET:
             return [self._testbed.counter.faults]
-        if scheduled.target == DISCOVERY:
+        if scheduled.target == DISCOVERY_TARGET:
             return [self._testbed.discovery.faults]
         return [server.faults for server in self._target_servers(scheduled)]
 
@@ -88,7 +93,7 @@
         self._testbed.discovery.mark_draining(server.name)
 
     def _end_drain(self, server: FakeServer) -> None:
-        """List the server as just started; its capacity is full at once, as fakes have no slow start."""
+        """List the server as just started. It has its full capacity at once, as fakes have no slow start."""
         server.draining = False
         started_ms = 1000.0 * time.time()
         self._testbed.discovery.put(ListedServer(server.name, server.address, started_ms=started_ms))
--- a/quota_gateway/lab/load/scheduled_fault.py
+++ b/quota_gateway/lab/load/scheduled_fault.py
@@ -1,9 +1,9 @@
-"""The text form of a fault that operators ask for, and its parser.
+"""Parses the text form in which operators schedule faults.
 
 One fault is written as ``TARGET:KIND[,share=S][,delay=MS][,from=S][,to=S]``, for example
-``servers:reset,share=0.2,from=1,to=3`` or ``s0:drain,from=2``. Targets are `servers`, one server by its name,
-`counter` and `discovery`. Kinds are the values of `FaultKind`, and `drain` for servers: the server completes
-its requests and is listed as terminating, until it comes back as one that was just started.
+``servers:reset,share=0.2,from=1,to=3`` or ``s0:drain,from=2``. A target is `servers`, the name of one
+server, `counter` or `discovery`. A kind is a value of `FaultKind`, or `drain` for servers. A draining server
+completes its requests and is listed as terminating; at the end of the drain it is listed as just started.
 """
 
 from __future__ import annotations
@@ -14,47 +14,50 @@
 from quota_gateway.lab.fakes.faults import Fault, FaultError, FaultKind
 
 DRAIN = "drain"
-OPTIONS = ("share", "delay", "from", "to")
+OPTION_NAMES = ("share", "delay", "from", "to")
 
 
 class ScheduledFaultError(ValueError):
-    """A fault whose text is not valid, or that nothing in the testbed can show; the text is one line."""
+    """A fault has an invalid text or is not supported by the testbed. The message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduledFault:
-    """One fault, or the draining of a server, and when it is active. Times count from the load's start."""
+    """One fault, or the draining of a server, and when it is active."""
 
-    text: str  # as it was written
+    text: str  # the text that was parsed
     target: str
     fault: Fault | None  # None: the target drains
-    begin_s: float
-    end_s: float  # infinite: until the end of the run
+    begin_s: float  # time from the start of the load
+    end_s: float  # time from the start of the load; infinite: the fault stays until the end of the run
 
 
 def parse_scheduled_fault(text: str) -> ScheduledFault:
-    """Parse one fault. Raises ScheduledFaultError, with the text and what is wrong in it."""
+    """Parse one fault. Raises ScheduledFaultError, whose message quotes the text and says what is wrong."""
     head, *pairs = text.split(",")
     target, colon, kind = head.partition(":")
     if not colon or not target:
-        raise ScheduledFaultError(f"{text!r} is not TARGET:KIND")
+        raise ScheduledFaultError(f"{text!r}: a fault must begin with TARGET:KIND")
     options = _parse_options(text, pairs)
-    begin_s, end_s = options.pop("from", 0.0), options.pop("to", math.inf)
+    begin_s = options.pop("from", 0.0)
+    end_s = options.pop("to", math.inf)
     if not 0.0 <= begin_s < end_s:
-        raise ScheduledFaultError(f"{text!r} does not begin before it ends")
+        raise ScheduledFaultError(
+            f"{text!r}: 'from' must be at least 0 and less than 'to', but they are {begin_s:g} and {end_s:g}"
+        )
     fault = None if kind == DRAIN else _build_fault(text, kind, options)
     if options:
-        raise ScheduledFaultError(f"{text!r}: a drain has no {next(iter(options))}")
+        raise ScheduledFaultError(f"{text!r}: a drain takes no option {next(iter(options))!r}")
     return ScheduledFault(text, target, fault, begin_s, end_s)
 
 
 def _build_fault(text: str, kind_name: str, options: dict[str, float]) -> Fault:
-    """Build the fault from its options, which are removed."""
+    """Build the fault from its options; removes `share` and `delay` from `options`."""
     try:
         kind = FaultKind(kind_name)
     except ValueError:
         known = ", ".join([*(each.value for each in FaultKind), DRAIN])
-        raise ScheduledFaultError(f"{text!r}: no kind {kind_name!r}; there are {known}") from None
+        raise ScheduledFaultError(f"{text!r}: unknown kind {kind_name!r}; known kinds: {known}") from None
     try:
         return Fault(kind, options.pop("share", 1.0), options.pop("delay", 0.0))
     except FaultError as error:
@@ -65,12 +68,13 @@
     options: dict[str, float] = {}
     for pair in pairs:
         name, _, value = pair.partition("=")
-        if name not in OPTIONS or name in options:
+        if name not in OPTION_NAMES or name in options:
             raise ScheduledFaultError(
-                f"{text!r}: {name!r} is none of {', '.join(OPTIONS)}, or is given twice"
+                f"{text!r}: unknown or repeated option {name!r}; each of {', '.join(OPTION_NAMES)}"
+                " may be given once"
             )
         try:
             options[name] = float(value)
         except ValueError:
-            raise ScheduledFaultError(f"{text!r}: {value!r} is not a number") from None
+            raise ScheduledFaultError(f"{text!r}: {name!r} must be a number, not {value!r}") from None
     return options
--- a/tests/lab/load/test_fault_schedule.py
+++ b/tests/lab/load/test_fault_schedule.py
@@ -1,4 +1,4 @@
-"""The faults of a testbed begin and end in their time."""
+"""The faults of a testbed begin and end at their scheduled times; unsupported ones are rejected."""
 
 from __future__ import annotations
 
--- a/tests/lab/load/test_scheduled_fault.py
+++ b/tests/lab/load/test_scheduled_fault.py
@@ -1,4 +1,4 @@
-"""The text form of faults."""
+"""Parsing of scheduled faults: options, defaults, and errors that quote the text."""
 
 from __future__ import annotations
 
