--- a/quota_gateway/lab/load/progress.py
+++ b/quota_gateway/lab/load/progress.py
@@ -16,7 +16,7 @@
 
 @contextlib.asynccontextmanager
 async def progress_bar(client: OpenLoopClient) -> AsyncIterator[None]:
-    """Show how many requests have ended; nothing where standard error is no terminal."""
+    """Show the number of completed requests; nothing if standard error is not a terminal."""
     columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn())
     console = Console(stderr=True)
     with Progress(*columns, console=console, transient=True, disable=not console.is_terminal) as progress:
@@ -27,8 +27,8 @@
                 progress.update(task, completed=client.completed_count)
                 await asyncio.sleep(REFRESH_INTERVAL_S)
 
-        refresher = asyncio.ensure_future(refresh())
+        refresh_task = asyncio.ensure_future(refresh())
         try:
             yield
         finally:
-            refresher.cancel()
+            refresh_task.cancel()
--- a/quota_gateway/lab/load/request_record.py
+++ b/quota_gateway/lab/load/request_record.py
@@ -1,4 +1,4 @@
-"""What became of each request of a load, as its client sees it."""
+"""The outcome of each request of a load, as observed by its client."""
 
 from __future__ import annotations
 
@@ -9,14 +9,17 @@
 
 
 class RequestOutcome(Enum):
-    """How a request ended, after PROTOCOL's first table. The values are keys of the result file."""
+    """The outcome of a request by the reply table of the protocol specification.
+
+    The values are keys of the result file.
+    """
 
     PENDING = "open"
     SERVED = "served"
     REJECTED_WITH_RETRY_AFTER = "refused_with_retry_after"
-    REJECTED = "refused_without"  # without a Retry-After
+    REJECTED = "refused_without"  # rejected without a Retry-After
     FAILED = "failed"
-    LOST = "lost"  # no reply, or one that was made for another request
+    LOST = "lost"  # no reply, or the value of another request
 
 
 class LossReason(Enum):
@@ -31,19 +34,19 @@
 
 @dataclass(slots=True, eq=False)
 class RequestRecord:
-    """One request of a run. Times are seconds of `time.monotonic`."""
+    """One request of a run and its outcome. Times are seconds of `time.monotonic`."""
 
     request: ScheduledRequest
-    scheduled_at: float  # when it was to be sent
-    sent_at: float | None = None  # None: it was never written
-    resent_at: float | None = None  # the close of an idle connection had crossed it
+    scheduled_at: float  # intended sending time
+    sent_at: float | None = None  # last time it was written to a connection; None if never
+    resent_at: float | None = None  # set if the close of an idle connection crossed the request
     completed_at: float = 0.0
     outcome: RequestOutcome = RequestOutcome.PENDING
     loss_reason: LossReason | None = None
 
     @property
     def latency_s(self) -> float:
-        """Time from the intended sending to the last byte of the reply."""
+        """Time from the intended sending to the last byte of the reply, in seconds."""
         return self.completed_at - self.scheduled_at
 
     def lose(self, reason: LossReason) -> None:
--- a/quota_gateway/lab/load/summary.py
+++ b/quota_gateway/lab/load/summary.py
@@ -1,4 +1,4 @@
-"""The figures of one load: outcomes, latencies, and what went against the protocol."""
+"""The figures of one load: outcomes, latencies, and violations of the protocol."""
 
 from __future__ import annotations
 
@@ -9,36 +9,36 @@
 from quota_gateway.lab.load.request_record import LossReason, RequestOutcome, RequestRecord
 from quota_gateway.settings import Idempotency
 
-# A reply so long past the deadline is late: `safety.answer_slack_ms` of the settings (8 ms), and the 50 ms
-# that PROTOCOL adds to every time limit on sockets.
-LATE_REPLY_S = 0.058
+# A reply is late if it arrives more than this after the deadline: `safety.answer_slack_ms` of the settings
+# (8 ms), plus the 50 ms that the protocol specification adds to every time limit on sockets.
+LATE_REPLY_MARGIN_S = 0.058
 
 
 @dataclass(slots=True)
 class LoadSummary:
-    """The figures of one load."""
+    """The figures of one load, summed over its requests."""
 
     counts: dict[RequestOutcome, int] = field(default_factory=lambda: dict.fromkeys(RequestOutcome, 0))
     latency: dict[RequestOutcome, LatencyHistogram] = field(
         default_factory=lambda: {outcome: LatencyHistogram() for outcome in RequestOutcome}
     )
-    added_latency: LatencyHistogram = field(default_factory=LatencyHistogram)  # latency less time at servers
-    send_delay: LatencyHistogram = field(default_factory=LatencyHistogram)  # intended to actual sending
+    added_latency: LatencyHistogram = field(default_factory=LatencyHistogram)  # latency minus time at servers
+    send_delay: LatencyHistogram = field(default_factory=LatencyHistogram)  # from intended to actual sending
     losses: dict[LossReason, int] = field(default_factory=dict)
-    extra_replies: int = 0  # beyond the one that each request is owed
-    duplicate_executions: int = 0  # non-idempotent requests that servers carried out more than once
-    resent: int = 0  # after a close of an idle connection that crossed them
-    late: int = 0  # replies past their deadline
+    extra_replies: int = 0  # replies for which no request was pending
+    duplicate_executions: int = 0  # non-idempotent requests that servers ran more than once
+    resent: int = 0  # requests that were resent because the close of an idle connection crossed them
+    late: int = 0  # replies past their deadline by more than `LATE_REPLY_MARGIN_S`
 
     @property
     def request_count(self) -> int:
-        """Requests that were to be sent."""
+        """Number of requests that have been added."""
         return sum(self.counts.values())
 
     def add(self, record: RequestRecord, attempt_log: AttemptLog) -> None:
         """Add a completed request.
 
-        One that was sent again although it had been forwarded before is marked as lost here.
+        A request is marked as lost if it was resent although the gateway had already forwarded it.
         """
         request = record.request
         attempts = attempt_log.attempts_of(request.request_id)
@@ -46,7 +46,7 @@
         if record.loss_reason is not None:
             self.losses[record.loss_reason] = self.losses.get(record.loss_reason, 0) + 1
         elif record.sent_at is not None:
-            self.late += record.completed_at - record.sent_at > request.deadline_s + LATE_REPLY_S
+            self.late += record.completed_at - record.sent_at > request.deadline_s + LATE_REPLY_MARGIN_S
         if request.idempotency is Idempotency.NON_IDEMPOTENT:
             self.duplicate_executions += attempt_log.executions(request.request_id) > 1
         self.counts[record.outcome] += 1
@@ -58,7 +58,8 @@
             return
         self.resent += 1
         if any(attempt.arrived_at < resent_at for attempt in attempts):
-            # The gateway had read and forwarded it, so its close of the connection lost the request.
+            # The gateway closed the connection after it had forwarded the request. The reply to it is lost,
+            # even if the resent request was served.
             record.lose(LossReason.CONNECTION_CLOSED_AFTER_FORWARD)
 
     def _add_times(self, record: RequestRecord, attempts: list[Attempt]) -> None:
--- a/quota_gateway/lab/load/trial_result.py
+++ b/quota_gateway/lab/load/trial_result.py
@@ -1,7 +1,7 @@
-"""The result of a trial, as it is shown and written as JSON.
+"""The result of a trial, as reported on the terminal and written as JSON.
 
-The names in the file are those of earlier versions, so that files of any version can be read and compared;
-the mapping from them to this program's names stands here and nowhere else.
+The keys in the file are those of earlier versions, so that files of all versions can be read and compared.
+Only the structs here and in `quota_audit` map these keys to attribute names.
 """
 
 from __future__ import annotations
@@ -24,19 +24,20 @@
 
 
 class GatewayResult(msgspec.Struct, kw_only=True):
-    """One gateway's part of a trial. None where the kernel does not report it."""
+    """The result of one gateway in a trial."""
 
     name: str
     requests: int
+    # CPU time and peak memory are None if the kernel does not report them.
     cpu_us_per_request: float | None = field(name="processor_us_per_request")
     peak_memory_mib: float | None = field(name="memory_mb")
     exit_status: int | None = None
-    killed: bool = False  # it did not exit in time after SIGTERM
-    unexpected_exit_log: str = field(name="trouble", default="")  # of one that exited before it was asked to
+    killed: bool = False  # whether it did not exit in time after SIGTERM
+    unexpected_exit_log: str = field(name="trouble", default="")  # end of the log if it exited before SIGTERM
 
 
 class TrialResult(msgspec.Struct, kw_only=True):
-    """What a trial gave. Percentiles are milliseconds."""
+    """The result of one trial. Percentiles are in milliseconds."""
 
     format: int = RESULT_FORMAT
     gateways: list[GatewayResult]
@@ -45,26 +46,31 @@
     duration_s: float = field(name="seconds")
     seed: int
     requests: int
-    outcomes: dict[str, int]  # by the value of `RequestOutcome`
-    losses: dict[str, int]  # by the value of `LossReason`
-    extra_replies: int = field(name="doubled")  # beyond the one owed
-    duplicate_executions: int = field(name="ran_twice")  # of non-idempotent requests
+    outcomes: dict[str, int]  # number of requests; keys are values of `RequestOutcome`
+    losses: dict[str, int]  # number of lost requests; keys are values of `LossReason`
+    extra_replies: int = field(name="doubled")  # replies for which no request was pending
+    duplicate_executions: int = field(name="ran_twice")  # non-idempotent requests that ran more than once
     late: int  # replies past the deadline
-    resent: int = field(name="sent_again")  # on a new connection, see `connections`
-    latency_ms: dict[str, Percentiles]  # from the intended sending, by outcome
-    added_latency_ms: Percentiles = field(name="added_ms")  # of served requests, less their time at servers
-    client_overhead_ms: Percentiles | None = field(name="floor_ms")  # the same without a gateway
-    send_delay_ms: Percentiles = field(name="pacing_ms")  # from the intended sending to the actual one
+    resent: int = field(name="sent_again")  # requests that crossed an idle close, see `connections`
+    latency_ms: dict[
+        str, Percentiles
+    ]  # latency from the intended sending; keys are values of `RequestOutcome`
+    added_latency_ms: Percentiles = field(name="added_ms")  # latency of served requests minus time at servers
+    client_overhead_ms: Percentiles | None = field(name="floor_ms")  # added latency without a gateway
+    send_delay_ms: Percentiles = field(name="pacing_ms")  # time from the intended to the actual sending
     counter_calls: int
     counter_rejections: int = field(name="counter_turned_away")
-    tool_cpu_s: float = field(name="tool_processor_s")  # of client and fakes together, while the load ran
-    attempts: dict[str, int] = field(default_factory=dict)  # at servers, by the value of `AttemptOutcome`
+    tool_cpu_s: float = field(name="tool_processor_s")  # CPU time of client and fakes during the load
+    attempts: dict[str, int] = field(default_factory=dict)  # attempts; keys are values of `AttemptOutcome`
     quota_audit: QuotaAudit = field(name="quotas", default_factory=QuotaAudit)
-    faults: list[str] = field(name="troubles", default_factory=list)  # as the operator wrote them
+    faults: list[str] = field(name="troubles", default_factory=list)  # texts given by the operator
 
     @property
     def passed(self) -> bool:
-        """Whether each request got one reply, some were served, and all gateways shut down cleanly."""
+        """Whether no violation was found, some requests were served, and all gateways shut down cleanly.
+
+        A lost request, an extra reply or a duplicate execution is a violation; a late reply is not.
+        """
         clean_exits = all(
             gateway.exit_status == 0 and not gateway.killed and not gateway.unexpected_exit_log
             for gateway in self.gateways
--- a/tests/lab/load/test_client.py
+++ b/tests/lab/load/test_client.py
@@ -8,7 +8,7 @@
 
 from quota_gateway.lab.load import client as client_module
 from quota_gateway.lab.load.request_record import LossReason, RequestOutcome
-from quota_gateway.lab.load.summary import LATE_REPLY_S
+from quota_gateway.lab.load.summary import LATE_REPLY_MARGIN_S
 from tests.lab.load.harness import encode_value, repeatable_requests, run_load
 from tests.network.scripted_peers import always_reply
 
@@ -65,7 +65,7 @@
 
 def test_a_reply_past_the_deadline_is_late() -> None:
     async def reply_late(arguments: list[bytes], writer: asyncio.StreamWriter) -> bytes:
-        await asyncio.sleep(LATE_REPLY_S + 0.05)
+        await asyncio.sleep(LATE_REPLY_MARGIN_S + 0.05)
         return encode_value(arguments)
 
     summary = run_load(reply_late, repeatable_requests(1, deadline_s=0.01))
--- a/tests/lab/load/test_histogram.py
+++ b/tests/lab/load/test_histogram.py
@@ -1,10 +1,10 @@
-"""Latency histograms: resolution, range, and percentiles of none."""
+"""Latency histograms: resolution, range, and the percentiles of an empty histogram."""
 
 from __future__ import annotations
 
 import pytest
 
-from quota_gateway.lab.load.histogram import MAX_US, LatencyHistogram
+from quota_gateway.lab.load.histogram import MAX_TIME_US, LatencyHistogram
 
 
 def test_percentiles_are_milliseconds_to_three_digits() -> None:
@@ -22,7 +22,7 @@
     histogram.record(-1.0)
     histogram.record(1e6)
     assert histogram.min_us == 1
-    assert histogram.max_us == pytest.approx(MAX_US, rel=1e-3)
+    assert histogram.max_us == pytest.approx(MAX_TIME_US, rel=1e-3)
 
 
 def test_an_empty_histogram_has_no_percentiles() -> None:
--- a/tests/lab/load/test_summary.py
+++ b/tests/lab/load/test_summary.py
@@ -24,15 +24,15 @@
             summary = await client.run()
         finally:
             await server.stop()
-        assert summary.latency[RequestOutcome.SERVED].max_us > 115_000  # the third waited for the others
+        assert summary.latency[RequestOutcome.SERVED].max_us > 115_000  # the third queued behind the others
         assert summary.added_latency.count == 3
         assert summary.added_latency.max_us < 80_000
         record = client.records[0]
         record.request = dataclasses.replace(record.request, idempotency=Idempotency.NON_IDEMPOTENT)
         attempt_log.record(Attempt(record.request.request_id, "s1", 0.0, started_at=0.0))
-        again = LoadSummary()
-        again.add(record, attempt_log)
-        assert again.duplicate_executions == 1
+        summary_of_duplicate = LoadSummary()
+        summary_of_duplicate.add(record, attempt_log)
+        assert summary_of_duplicate.duplicate_executions == 1
         assert request_id_of(b"r1 s0 ..") == b"r1"
 
     run_scenario(scenario())
--- a/tests/lab/load/test_trial_result.py
+++ b/tests/lab/load/test_trial_result.py
@@ -1,4 +1,4 @@
-"""The result of a trial: when it counts as passed, and its file."""
+"""The result of a trial: the condition for a pass, and the result file."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 def gateway_result(**changes: Any) -> GatewayResult:
-    """Return the result of a gateway that shut down cleanly, but for the changes."""
+    """Return the result of a gateway that shut down cleanly, with some fields changed."""
     clean = GatewayResult(name="g", requests=9, cpu_us_per_request=1.0, peak_memory_mib=1.0, exit_status=0)
     return msgspec.structs.replace(clean, **changes)
 
 
 def trial_result(**changes: Any) -> TrialResult:
-    """Return the result of a trial that passed, but for the changes."""
-    nothing: Percentiles = {}
+    """Return the result of a trial that passed, with some fields changed."""
+    no_percentiles: Percentiles = {}
     passed = TrialResult(
         gateways=[gateway_result()],
         servers=1,
@@ -41,9 +41,9 @@
         late=0,
         resent=0,
         latency_ms={},
-        added_latency_ms=nothing,
+        added_latency_ms=no_percentiles,
         client_overhead_ms=None,
-        send_delay_ms=nothing,
+        send_delay_ms=no_percentiles,
         counter_calls=0,
         counter_rejections=0,
         tool_cpu_s=0.0,
@@ -74,8 +74,8 @@
 ) -> None:
     path = tmp_path / "result.json"
     results.write(path, trial_result())
-    before = path.read_bytes()
-    assert json.loads(before)["requests"] == 9
+    first_content = path.read_bytes()
+    assert json.loads(first_content)["requests"] == 9
 
     def fail(descriptor: int) -> None:
         raise OSError("no space left")
@@ -83,7 +83,7 @@
     monkeypatch.setattr(os, "fsync", fail)
     with pytest.raises(OSError, match="no space left"):
         results.write(path, trial_result(requests=10))
-    assert path.read_bytes() == before
+    assert path.read_bytes() == first_content
     assert list(tmp_path.iterdir()) == [path]
 
 
