--- a/quota_gateway/lab/fakes/endpoint_history.py
+++ b/quota_gateway/lab/fakes/endpoint_history.py
@@ -1,6 +1,6 @@
 """The endpoint list of the fake discovery, with the changes of its last versions.
 
-From PROTOCOL, "Discovery". The structs are encoded as they are: their fields are those of the wire.
+The structs follow the protocol specification of discovery; their field names are the keys on the wire.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 import msgspec
 
-HISTORY_VERSIONS = 1000  # versions for which changes are kept
+HISTORY_VERSIONS = 1000  # number of versions whose changes are kept
 
 
 class ListedState(Enum):
@@ -17,7 +17,7 @@
 
     READY = "Ready"
     DRAINING = "Terminating"
-    GONE = "Gone"  # in deltas only
+    GONE = "Gone"  # occurs only in deltas
 
 
 class ListedServer(msgspec.Struct, frozen=True):
@@ -30,24 +30,24 @@
     cell: int = 0
     state: ListedState = ListedState.READY
     weight: float = 1.0
-    started_ms: float = 0.0  # Unix time; 0: long ago
+    started_ms: float = 0.0  # Unix time of the server's start; 0 means long ago
 
 
 class EndpointList(msgspec.Struct, frozen=True):
-    """A snapshot of the list, or a delta to the version that a caller named."""
+    """A snapshot of the list, or a delta since the version that a caller knows."""
 
     version: int
-    full: bool  # a snapshot
+    full: bool  # True for a snapshot, False for a delta
     servers: list[ListedServer]
 
 
 class EndpointHistory:
-    """The endpoint list. Each change makes a version."""
+    """The endpoint list. Each change increments its version."""
 
     def __init__(self) -> None:
         self.version = 1
-        self._servers: dict[str, tuple[int, ListedServer]] = {}  # with the version of the last change
-        self._oldest_version = 0  # since which all changes are known
+        self._servers: dict[str, tuple[int, ListedServer]] = {}  # id to version of last change and entry
+        self._oldest_version = 0  # oldest version since which all changes are known
 
     def put(self, server: ListedServer) -> None:
         """Add a server or replace its entry."""
@@ -56,7 +56,7 @@
         self._drop_old_changes()
 
     def set_state(self, server_id: str, state: ListedState) -> None:
-        """Change the state of a server. Raises KeyError if it is not listed."""
+        """Change the state of a server. Raises KeyError if the server is not listed."""
         _, server = self._servers[server_id]
         self.put(msgspec.structs.replace(server, state=state))
 
@@ -66,14 +66,17 @@
         return EndpointList(self.version, True, listed)
 
     def changes_since(self, version: int) -> EndpointList:
-        """Return a delta to a version; a snapshot where its changes are not known."""
+        """Return the delta since a version, or a snapshot if the changes since then are not known."""
         if not self._oldest_version <= version <= self.version:
             return self.snapshot()
         changed = [server for changed_in, server in self._servers.values() if changed_in > version]
         return EndpointList(self.version, False, changed)
 
     def _drop_old_changes(self) -> None:
-        """Drop servers that are gone for a long time; a caller with an older version gets a snapshot."""
+        """Drop servers that have been gone for `HISTORY_VERSIONS` versions.
+
+        A caller that knows only an older version gets a snapshot instead of a delta.
+        """
         self._oldest_version = max(self._oldest_version, self.version - HISTORY_VERSIONS)
         dropped = [
             server_id
--- a/quota_gateway/lab/fakes/faults.py
+++ b/quota_gateway/lab/fakes/faults.py
@@ -1,8 +1,8 @@
 """Faults that can be injected into a fake.
 
 A fault is plain data, so that a load test can read it from its command line, activate it at a given time and
-print it. Each fake names the kinds that it can show; any other kind is rejected when it is injected, not when
-a call would meet it.
+print it. Each fake names the kinds that it supports. Any other kind is rejected when it is injected, so that
+the error does not depend on whether a call is affected.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 class FaultKind(Enum):
     """What happens to a call. The values are the names that operators type.
 
-    PROTOCOL's tables say what each of them amounts to for the caller.
+    The protocol specification defines what each kind means for the caller.
     """
 
-    RESET = "reset"  # the connection is reset after the call was read
-    NO_REPLY = "silence"  # no reply, on a connection that stays open
-    DELAY = "late"  # the reply comes `delay_ms` later
-    PARTIAL_REPLY = "partial"  # half of the reply, then the end of the connection
-    MALFORMED_REPLY = "spoilt"  # bytes that are no reply; the connection stays open but cannot be used again
-    ERROR = "error"  # an error reply: the call may have run
-    UNAVAILABLE = "unavailable"  # rejected: -BUSY, or 503 over HTTP
-    PARTITION = "cut"  # the machine is off the network: nothing gets in or out (no fake shows this one yet)
+    RESET = "reset"  # the connection is reset after the call is read
+    NO_REPLY = "silence"  # no reply is sent; the connection stays open
+    DELAY = "late"  # the reply is sent `delay_ms` later
+    PARTIAL_REPLY = "partial"  # half of the reply is sent, then the connection is closed
+    MALFORMED_REPLY = "spoilt"  # bytes that are no valid reply; the connection stays open but is unusable
+    ERROR = "error"  # an error reply; the call may have run
+    UNAVAILABLE = "unavailable"  # the call is rejected with -BUSY, or with 503 over HTTP
+    PARTITION = "cut"  # the host is cut off from the network in both directions (no fake supports it yet)
 
 
-# After DAYS, "Bad servers": noise, a line without an end, lengths that do not fit what follows, and a value
-# announced as 3 GB.
+# The malformed replies of the simulator's faulty servers: noise, a line without an end, lengths that do not
+# match the data that follows, a negative array length, and a value announced as 3 GB.
 MALFORMED_REPLIES = (
     b"\x00\xfe\x1f?!\r\n\r\n",
     b"-" + b"x" * 4096,
@@ -43,12 +43,12 @@
 
 
 class FaultError(ValueError):
-    """A fault that is not valid, or that a fake cannot show; the text is one line."""
+    """A fault is not valid or not supported by a fake. The message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One kind of fault, which each call meets with a probability.
+    """One kind of fault, which affects each call with a given probability.
 
     Raises:
         FaultError: the probability or the delay is out of range.
@@ -56,19 +56,27 @@
 
     kind: FaultKind
     probability: float = 1.0
-    delay_ms: float = 0.0  # DELAY only
+    delay_ms: float = 0.0  # above 0 for DELAY, 0 for all other kinds
 
     def __post_init__(self) -> None:
         if not 0.0 < self.probability <= 1.0:
-            raise FaultError(f"the share of a fault is above 0 and at most 1, not {self.probability}")
+            raise FaultError(f"the share of a fault must be above 0 and at most 1, not {self.probability}")
         if not (math.isfinite(self.delay_ms) and self.delay_ms >= 0.0):
-            raise FaultError(f"a delay is at least 0 ms, not {self.delay_ms}")
+            raise FaultError(f"the delay of a fault must be finite and at least 0 ms, not {self.delay_ms}")
         if (self.kind is FaultKind.DELAY) != (self.delay_ms > 0.0):
-            raise FaultError("a late answer, and nothing else, has a delay")
+            raise FaultError(
+                f"the delay must be above 0 ms for a {FaultKind.DELAY.value!r} fault and 0 for all others,"
+                f" not {self.delay_ms:g} ms for {self.kind.value!r}"
+            )
 
 
 class FaultInjector:
-    """The faults that are active at one fake."""
+    """The active faults of one fake.
+
+    Args:
+        supported: the kinds of fault that the fake supports.
+        rng: the generator that decides which calls are affected.
+    """
 
     def __init__(self, supported: Collection[FaultKind], rng: random.Random) -> None:
         self.supported = frozenset(supported)
@@ -76,21 +84,24 @@
         self._active: list[Fault] = []
 
     def inject(self, fault: Fault) -> None:
-        """Activate a fault beside the others. Raises FaultError if this fake cannot show it."""
+        """Activate a fault in addition to the active ones. Raises FaultError if it is not supported."""
         if fault.kind not in self.supported:
-            raise FaultError(f"this fake can't show the fault {fault.kind.value!r}")
+            raise FaultError(f"this fake does not support the fault {fault.kind.value!r}")
         self._active.append(fault)
 
     def remove(self, fault: Fault) -> None:
-        """Deactivate one fault. Raises ValueError if it is not active."""
+        """Deactivate one fault. Raises ValueError if the fault is not active."""
         self._active.remove(fault)
 
     def clear(self) -> None:
-        """Deactivate all faults; calls that have already met one are not affected."""
+        """Deactivate all faults. Calls that are already affected by a fault stay so."""
         self._active.clear()
 
     def draw(self) -> Fault | None:
-        """Draw the fault that the next call meets, if any; of several the one injected first."""
+        """Draw the fault of the next call; None for none.
+
+        The active faults are tried in the order of their injection, and the first one drawn applies.
+        """
         for fault in self._active:
             if self._rng.random() < fault.probability:
                 return fault
--- a/quota_gateway/lab/fakes/http_server.py
+++ b/quota_gateway/lab/fakes/http_server.py
@@ -1,4 +1,4 @@
-"""Fakes that speak HTTP/1.1: one request at a time on each connection."""
+"""Base of the fakes that speak HTTP/1.1. Each connection serves one request at a time."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
     @abstractmethod
     def handle_request(self, connection: HttpConnection, target: str) -> None:
-        """Carry out one request; the connection's `reply` is called now or later."""
+        """Carry out one request and call `connection.reply`, now or later."""
 
     def handle_disconnect(self, connection: HttpConnection) -> None:
-        """Drop what is pending for a connection that has ended."""
+        """Drop the pending request of a closed connection, if there is one."""
 
 
 class HttpConnection(LoopbackConnection):
-    """A connection of an HTTP fake. It is closed when something other than a request arrives."""
+    """A connection of an HTTP fake. It is closed when it receives anything but an HTTP request."""
 
     def __init__(self, server: HttpServer) -> None:
         super().__init__(server)
@@ -49,7 +49,7 @@
         self._read_request()
 
     def _read_request(self) -> None:
-        """Parse what has been received, up to the end of one request."""
+        """Parse the received bytes up to the end of one request, and pass it to the server."""
         try:
             while (event := self._http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
                 if isinstance(event, h11.Request):
@@ -61,14 +61,14 @@
             self.close()
 
     def reply(self, status: HTTPStatus, body: bytes = b"") -> None:
-        """Reply to the pending request with JSON; then the next one may be read."""
+        """Reply to the pending request with a JSON body, then read the next request."""
         if not self.is_open:
             return
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
         head = self._http.send(h11.Response(status_code=status, headers=headers)) or b""
-        payload = self._http.send(h11.Data(data=body)) or b""
+        encoded_body = self._http.send(h11.Data(data=body)) or b""
         self._http.send(h11.EndOfMessage())
-        self.write(head + payload)
+        self.write(head + encoded_body)
         if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE:
             self._http.start_next_cycle()
             self.server.loop.call_soon(self._read_request)  # the next request may already be buffered
--- a/quota_gateway/lab/fakes/loopback_server.py
+++ b/quota_gateway/lab/fakes/loopback_server.py
@@ -1,4 +1,4 @@
-"""The base of all fakes: a listening socket on loopback and its connections."""
+"""Base of all fakes: a listening socket on loopback and its connections."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 LOOPBACK = "127.0.0.1"
 LISTEN_BACKLOG = 512
 IDLE_CHECK_INTERVAL_S = 0.25
-# struct linger {on, 0 seconds}: closing such a socket sends a reset in place of an orderly end.
+# `struct linger` with l_onoff 1 and l_linger 0: closing such a socket sends RST instead of FIN.
 _LINGER_ZERO = struct.pack("ii", 1, 0)
 
 
@@ -38,7 +38,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether replies still reach the caller."""
+        """Whether replies can still be written."""
         return self.transport is not None and not self.transport.is_closing()
 
     @property
@@ -53,25 +53,25 @@
             self.transport.write(data)
 
     def close(self) -> None:
-        """Close the connection once everything is written."""
+        """Close the connection after all buffered bytes are written."""
         if self.transport is not None:
             self.transport.close()
 
     def reset(self) -> None:
-        """Abort the connection so that the caller sees a reset and no orderly end."""
+        """Abort the connection with RST, so that the caller does not see an orderly close."""
         if self.transport is not None:
-            raw: socket.socket = self.transport.get_extra_info("socket")
-            raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_ZERO)
+            tcp_socket: socket.socket = self.transport.get_extra_info("socket")
+            tcp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_ZERO)
             self.transport.abort()
 
 
 class LoopbackServer(ABC):
-    """A server on 127.0.0.1, on a port that the kernel chooses. Start it inside a running event loop.
+    """A server on 127.0.0.1, on a port that the kernel chooses. It needs a running event loop.
 
     Args:
-        supported: the kinds of fault that the fake can show.
-        seed: of the fake's random generator; the fault injector has one of its own, seeded with `seed` + 1.
-        idle_timeout_s: a connection without calls is closed after this time; 0 keeps it open.
+        supported: the kinds of fault that the fake supports.
+        seed: seed of the fake's random generator; the fault injector has its own, seeded with `seed` + 1.
+        idle_timeout_s: an idle connection is closed after this time; 0 means never.
     """
 
     def __init__(self, supported: Collection[FaultKind], seed: int, idle_timeout_s: float = 0.0) -> None:
@@ -90,7 +90,7 @@
 
     @property
     def address(self) -> str:
-        """`host:port`; the port is known after the first `start`."""
+        """The address as `host:port`; the port is 0 before the first `start`."""
         return f"{LOOPBACK}:{self.port}"
 
     @abstractmethod
@@ -98,7 +98,7 @@
         """Return the protocol object of a new connection."""
 
     async def start(self) -> None:
-        """Listen; after `stop`, at the same address again. Raises OSError if that is not possible."""
+        """Start listening; after `stop`, on the same port again. Raises OSError if that is not possible."""
         self._listener = await self.loop.create_server(
             self.create_connection, LOOPBACK, self.port, backlog=LISTEN_BACKLOG
         )
@@ -107,7 +107,7 @@
             self._close_idle_connections()
 
     async def stop(self) -> None:
-        """Stop listening and reset all connections, as the death of a process does."""
+        """Stop listening and reset all connections, as if the process had died."""
         if self._idle_check is not None:
             self._idle_check.cancel()
         if self._listener is not None:
@@ -119,9 +119,9 @@
             await asyncio.sleep(0)
 
     def _close_idle_connections(self) -> None:
-        """Close connections past the idle timeout, and do so again after a while."""
-        interval = min(IDLE_CHECK_INTERVAL_S, self._idle_timeout_s)
-        self._idle_check = self.loop.call_later(interval, self._close_idle_connections)
+        """Close connections past the idle timeout, and schedule the next such check."""
+        interval_s = min(IDLE_CHECK_INTERVAL_S, self._idle_timeout_s)
+        self._idle_check = self.loop.call_later(interval_s, self._close_idle_connections)
         idle_since = self.loop.time() - self._idle_timeout_s
         for connection in list(self.connections):
             if connection.last_activity < idle_since and connection.is_idle:
--- a/tests/lab/fakes/harness.py
+++ b/tests/lab/fakes/harness.py
@@ -1,4 +1,4 @@
-"""What the tests of the fakes share: a started fake, one connection to it, and how each fault shows."""
+"""Shared helpers of the fakes' tests: a started fake, a connection to it, and checks of each fault."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 async def assert_fault_shows(client: RespClient, kind: FaultKind) -> None:
-    """Wait for what a fault looks like to the caller of a RESP fake."""
+    """Check what the caller of a RESP fake receives when its call meets a fault of this kind."""
     if kind is FaultKind.RESET:
         with pytest.raises(ConnectionResetError):
             await client.read_reply()
--- a/tests/lab/fakes/test_attempt_log.py
+++ b/tests/lab/fakes/test_attempt_log.py
@@ -7,8 +7,10 @@
 
 def test_attempts_of_a_request_are_kept_in_the_order_of_their_arrival() -> None:
     log = AttemptLog()
-    first, second, other = Attempt(b"r1", "s0", 1.0), Attempt(b"r1", "s1", 2.0), Attempt(b"r2", "s0", 3.0)
-    for attempt in (first, second, other):
+    first = Attempt(b"r1", "s0", 1.0)
+    second = Attempt(b"r1", "s1", 2.0)
+    other_request = Attempt(b"r2", "s0", 3.0)
+    for attempt in (first, second, other_request):
         log.record(attempt)
     first.complete(AttemptOutcome.REJECTED, 1.5)
     second.started_at = 2.0
--- a/tests/lab/fakes/test_endpoint_history.py
+++ b/tests/lab/fakes/test_endpoint_history.py
@@ -1,4 +1,4 @@
-"""The fake discovery's endpoint list: which changes it keeps."""
+"""The endpoint list of the fake discovery: the changes that it keeps."""
 
 from __future__ import annotations
 
--- a/tests/lab/fakes/test_faults.py
+++ b/tests/lab/fakes/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults: which are valid, how often they are drawn, and delays at every fake."""
+"""Faults: validation, probability of a draw, and delayed replies of every fake."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
     assert faults.draw() is None
 
 
-async def _time(call: Awaitable[Any]) -> float:
-    began = time.monotonic()
+async def _duration_s(call: Awaitable[Any]) -> float:
+    started_at = time.monotonic()
     await call
-    return time.monotonic() - began
+    return time.monotonic() - started_at
 
 
 def test_delayed_replies_come_late_and_complete() -> None:
@@ -58,10 +58,10 @@
             for fake in fakes:
                 fake.faults.inject(Fault(FaultKind.DELAY, delay_ms=60.0))
             client = await RespClient.connect(server.port)
-            assert await _time(client.execute(b"CALL.GET", CUSTOMER, b"r1", READ_FIELDS)) >= 0.055
+            assert await _duration_s(client.execute(b"CALL.GET", CUSTOMER, b"r1", READ_FIELDS)) >= 0.055
             assert server.attempt_log.attempts_of(b"r1")[0].time_at_server_s >= 0.055
             client = await RespClient.connect(counter.port)
-            assert await _time(client.execute(b"INCRTTL", b"a", b"1", b"9")) >= 0.055
-            assert await _time(http_get(await RespClient.connect(discovery.port))) >= 0.055
+            assert await _duration_s(client.execute(b"INCRTTL", b"a", b"1", b"9")) >= 0.055
+            assert await _duration_s(http_get(await RespClient.connect(discovery.port))) >= 0.055
 
     run_scenario(scenario())
--- a/tests/lab/fakes/test_loopback_server.py
+++ b/tests/lab/fakes/test_loopback_server.py
@@ -1,4 +1,4 @@
-"""What all fakes share: listening, idle connections, and bytes that are no command."""
+"""The base of all fakes: listening, idle connections, and malformed commands."""
 
 from __future__ import annotations
 
