--- a/quota_gateway/lab/fakes/faults.py
+++ b/quota_gateway/lab/fakes/faults.py
@@ -23,7 +23,7 @@
     RESET = "reset"  # the connection is reset after the call is read
     NO_REPLY = "silence"  # no reply is sent; the connection stays open
     DELAY = "late"  # the reply is sent `delay_ms` later
-    PARTIAL_REPLY = "partial"  # half of the reply is sent, then the connection is closed
+    PARTIAL_REPLY = "partial"  # the connection is closed after half of the reply
     MALFORMED_REPLY = "spoilt"  # bytes that are no valid reply; the connection stays open but is unusable
     ERROR = "error"  # an error reply; the call may have run
     UNAVAILABLE = "unavailable"  # the call is rejected with -BUSY, or with 503 over HTTP
--- a/quota_gateway/lab/fakes/server.py
+++ b/quota_gateway/lab/fakes/server.py
@@ -58,7 +58,7 @@
     service_ms: float = 5.0  # mean service time of one unit; at 0 the server replies at once
     variation: float = 0.5  # coefficient of variation of service times (standard deviation / mean)
     queue_length: int = 32  # requests that may wait for a core
-    max_connections: int = 512  # with more open connections, every request on any of them is rejected
+    max_connections: int = 512  # while more connections are open, all requests are rejected
     handshake_ms: float = 0.0  # added to the service time of the first request of a connection
     idle_timeout_ms: float = 15_000.0  # equals `limits.conn_idle_ms` of the settings
     value_bytes: int = 64
--- a/quota_gateway/lab/load/client.py
+++ b/quota_gateway/lab/load/client.py
@@ -95,7 +95,7 @@
         self._pools[record.request.gateway_index].abandon(record)
 
     def complete(self, record: RequestRecord, completion: Completion, now: float) -> None:
-        """Record the end of a request; ignored if it has ended already."""
+        """Record the outcome of a request; ignored if it already has one."""
         if record.outcome is not RequestOutcome.PENDING:
             return
         record.outcome = completion.outcome
--- a/quota_gateway/lab/load/connections.py
+++ b/quota_gateway/lab/load/connections.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Completion:
-    """How a request ended."""
+    """The outcome of a request, with the reason if it is lost."""
 
     outcome: RequestOutcome
     loss_reason: LossReason | None = None  # set only if the request is lost
@@ -38,7 +38,7 @@
         """Whether the run is over, so that no request is resent."""
 
     def complete(self, record: RequestRecord, completion: Completion, now: float) -> None:
-        """Record the end of a request; ignored if it has ended already."""
+        """Record the outcome of a request; ignored if it already has one."""
 
     def count_extra_reply(self) -> None:
         """Count a reply that no request is waiting for."""
--- a/quota_gateway/lab/load/deployment.py
+++ b/quota_gateway/lab/load/deployment.py
@@ -61,7 +61,7 @@
 
 
 def gateway_settings(gateway_count: int, gateway_index: int = 0) -> dict[str, Any]:
-    """Return the settings of one gateway, with the keys of its configuration file."""
+    """Return the settings of one of `gateway_count` gateways, with the keys of its configuration file."""
     return {
         "areas": ["a"],
         "balancers": gateway_count,
--- a/quota_gateway/lab/load/quota_audit.py
+++ b/quota_gateway/lab/load/quota_audit.py
@@ -30,7 +30,7 @@
     """The token bucket of one customer."""
 
     plan: QuotaPlan
-    level: float  # units
+    level: float  # available units
     updated_at: float  # seconds of `time.monotonic`
 
     def refill(self, now: float) -> None:
--- a/quota_gateway/lab/load/schedule.py
+++ b/quota_gateway/lab/load/schedule.py
@@ -27,8 +27,8 @@
 DEMAND_WITHIN_QUOTA = 0.5  # demand of most customers, as a multiple of their quota
 DEMAND_OVER_QUOTA = 3.0  # demand of customers that exceed their quota, as a multiple of it
 MAX_GATEWAYS_PER_CUSTOMER = 3
-CUSTOMER_ID_LIMIT = 1 << 33  # customer ids are below this limit of the protocol specification
-MIN_CUSTOMER_RATE = 1e-6  # least progress of each step of `draw_customers`, so that its loop ends
+CUSTOMER_ID_LIMIT = 1 << 33  # exclusive upper bound of customer ids in the protocol specification
+MIN_CUSTOMER_RATE = 1e-6  # smallest decrement in the loop of `draw_customers`, which ensures that it ends
 
 
 class LoadSpecError(ValueError):
--- a/quota_gateway/lab/load/summary.py
+++ b/quota_gateway/lab/load/summary.py
@@ -23,7 +23,8 @@
         default_factory=lambda: {outcome: LatencyHistogram() for outcome in RequestOutcome}
     )
     added_latency: LatencyHistogram = field(default_factory=LatencyHistogram)  # latency minus time at servers
-    send_delay: LatencyHistogram = field(default_factory=LatencyHistogram)  # from intended to actual sending
+    # Difference between the actual and the intended sending time.
+    send_delay: LatencyHistogram = field(default_factory=LatencyHistogram)
     losses: dict[LossReason, int] = field(default_factory=dict)
     extra_replies: int = 0  # replies for which no request was pending
     duplicate_executions: int = 0  # non-idempotent requests that servers ran more than once
--- a/quota_gateway/lab/load/trial_result.py
+++ b/quota_gateway/lab/load/trial_result.py
@@ -52,9 +52,7 @@
     duplicate_executions: int = field(name="ran_twice")  # non-idempotent requests that ran more than once
     late: int  # replies past the deadline
     resent: int = field(name="sent_again")  # requests that crossed an idle close, see `connections`
-    latency_ms: dict[
-        str, Percentiles
-    ]  # latency from the intended sending; keys are values of `RequestOutcome`
+    latency_ms: dict[str, Percentiles]  # latency by the value of `RequestOutcome`, see `RequestRecord`
     added_latency_ms: Percentiles = field(name="added_ms")  # latency of served requests minus time at servers
     client_overhead_ms: Percentiles | None = field(name="floor_ms")  # added latency without a gateway
     send_delay_ms: Percentiles = field(name="pacing_ms")  # time from the intended to the actual sending
--- a/tests/lab/fakes/test_counter.py
+++ b/tests/lab/fakes/test_counter.py
@@ -14,9 +14,7 @@
 def test_the_counter_adds_amounts_and_drops_names_that_have_expired() -> None:
     async def scenario(counter: FakeCounter, client: RespClient) -> None:
         assert await client.execute(b"INCRTTL", b"a", b"2.5", b"60000") == b"2.5"
-        assert (
-            await client.execute(b"INCRTTL", b"a", b"-1", b"1") == b"1.5"
-        )  # keeps the expiry of the first call
+        assert await client.execute(b"INCRTTL", b"a", b"-1", b"1") == b"1.5"  # the expiry is unchanged
         assert await client.execute(b"INCRTTL", b"b", b"1e3", b"30") == b"1000"
         assert counter.total(b"a") == 1.5
         await wait_until(lambda: counter.total(b"b") is None)
--- a/tests/lab/fakes/test_faults.py
+++ b/tests/lab/fakes/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults: validation, probability of a draw, and delayed replies of every fake."""
+"""Faults: validation, the probability of being drawn, and delayed replies of every fake."""
 
 from __future__ import annotations
 
--- a/tests/lab/load/__init__.py
+++ b/tests/lab/load/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the load tests."""
+"""Tests of the load package."""
--- a/tests/lab/load/harness.py
+++ b/tests/lab/load/harness.py
@@ -1,4 +1,4 @@
-"""Shared helpers of the load tests' tests: small schedules, and a load on a scripted gateway."""
+"""Shared helpers for testing the load package: small schedules, and a load on a scripted gateway."""
 
 from __future__ import annotations
 
--- a/tests/lab/load/test_client.py
+++ b/tests/lab/load/test_client.py
@@ -1,4 +1,4 @@
-"""The open-loop client with misbehaving gateways: outcomes, losses, and the start of the latency."""
+"""The open-loop client with misbehaving gateways: outcomes, losses, and latency from the intended sending."""
 
 from __future__ import annotations
 
--- a/tests/lab/load/test_fault_schedule.py
+++ b/tests/lab/load/test_fault_schedule.py
@@ -1,4 +1,4 @@
-"""The faults of a testbed begin and end at their scheduled times; unsupported ones are rejected."""
+"""Scheduled faults begin and end in time, and faults that the testbed does not support are rejected."""
 
 from __future__ import annotations
 
