--- a/quota_gateway/policy_state/customers.py
+++ b/quota_gateway/policy_state/customers.py
@@ -14,69 +14,72 @@
 class Customer:
     """The buckets, the demand and the accounting window of one customer.
 
-    Amounts are quota units, rates units a second, times Unix milliseconds. "Remote" is what the other
-    gateways do for this customer, as far as the counter's totals tell.
+    Amounts are quota units, rates units a second, times Unix milliseconds. "Remote" is the use of this
+    customer's quota by the other gateways, as estimated from the counter's totals.
 
-    Three buckets keep its limits:
+    Three buckets enforce the limits of the plan:
 
-    - the token bucket, which all gateways share; its level is an estimate, by the shared counter;
-    - the local bucket, this gateway's part of it, to which it keeps while no counter reply can be had;
-    - the hard-limit bucket, this gateway's part of the plan's hard limit. The gateways' parts keep one share
-      of that limit; the counter keeps the other, as what its replies admit comes out of the token bucket.
+    - The token bucket is shared by all gateways. Its level is an estimate, corrected by the shared counter.
+    - The local bucket is this gateway's share of the token bucket. It limits requests for which no counter
+      reply is available.
+    - The hard-limit bucket is this gateway's part of the plan's hard limit. The local parts of all gateways
+      make up only a share of that limit. The rest is enforced by the counter: a request that a counter reply
+      admits is limited by the token bucket of all gateways.
     """
 
     key: str
     plan: Plan
-    gateway_count: int  # gateways through which its requests come
-
-    refilled_at_ms: float  # when the buckets were last brought up to date
-    bucket_level: float  # of the token bucket
-    max_bucket_level: float  # upper bound of it: the level at the last reply, refilled and not drained
-    hard_limit_bucket: float = 0.0  # level
-    local_bucket: float = 0.0  # level
-
-    last_seen_ms: float = NEVER_MS  # its last request
-    admission_credit: float = 1.0  # admitted shares of a trickle add up here until they make a request
-    local_demand: float = 0.0  # requested here
-    remote_usage: float = 0.0  # admitted by the other gateways
-    in_flight: int = 0  # attempts of this gateway
-    largest_request: float = 1.0  # units
-    recent_local_usage: float = 0.0  # of the recent usage in the counter's totals, this gateway's ...
-    recent_total_usage: float = 0.0  # ... and that of all gateways
-
-    window_length_ms: float = 0.0  # of its accounting windows
-    window_offset: float = 0.0  # of its windows' starts, a share of their length that differs by customer
-    window_start_ms: float = -math.inf  # of the present window
-    counter_key: int = 0  # the counter's key for this window: units admitted or requested by all gateways
-    counter_total: float = 0.0  # in the last reply of this window
+    gateway_count: int  # number of gateways that receive this customer's requests
+
+    refilled_at_ms: float  # last refill of the buckets
+    bucket_level: float  # estimated level of the token bucket
+    max_bucket_level: float  # upper bound of that level, which ignores remote usage since the last reply
+    hard_limit_bucket: float = 0.0  # level of the hard-limit bucket
+    local_bucket: float = 0.0  # level of the local bucket
+
+    last_seen_ms: float = NEVER_MS  # last request
+    admission_credit: float = 1.0  # sum of admitted shares, which turns fractions of requests into whole ones
+    local_demand: float = 0.0  # rate of the units requested at this gateway
+    remote_usage: float = 0.0  # rate of the units admitted by the other gateways
+    in_flight: int = 0  # attempts in flight from this gateway
+    largest_request: float = 1.0  # units of the largest request so far
+    recent_local_usage: float = 0.0  # decaying sum of the units that this gateway reported
+    recent_total_usage: float = 0.0  # decaying sum of the units of all gateways in the counter's totals
+
+    window_length_ms: float = 0.0  # length of the accounting windows
+    window_offset: float = 0.0  # offset of the window starts, a share of the length; differs by customer
+    window_start_ms: float = -math.inf  # start of the present window
+    counter_key: int = 0  # key of the present window: units admitted or requested by all gateways
+    counter_total: float = 0.0  # total in the last reply of the present window
     replied_at_ms: float = NEVER_MS  # last reply with a total
     called_at_ms: float = NEVER_MS  # last call to the counter
     pending_calls: int = 0  # usage calls without a reply so far
-    in_flight_usage: float = 0.0  # units of pending calls, but for requests that wait for their reply
-    reported_usage: float = 0.0  # own units reported since the last reply
-    unreported_usage: float = 0.0  # own units not reported yet
-    lease_requested: bool = False  # a call for the correction lease has no reply yet
+    in_flight_usage: float = 0.0  # units in pending calls, except those of requests that wait for the reply
+    reported_usage: float = 0.0  # units that this gateway reported since the last reply
+    unreported_usage: float = 0.0  # units that this gateway has yet to report; negative if a refund is due
+    lease_requested: bool = False  # whether a call for the correction lease is pending
 
 
 @dataclass(slots=True, eq=False)
 class UsageCall:
-    """A call that reports usage to the counter and has no reply yet; amounts are quota units."""
+    """A pending call that reports usage to the counter. Amounts are quota units."""
 
     customer: Customer
-    requested: float = 0.0  # for the request that waits for the reply
-    request_id: str = ""  # that request; empty: none waits
-    correction: float = 0.0  # what nobody used: it corrects the total
-    amount: float = 0.0  # added to the counter in all, reported usage included
-    window_start_ms: float = -math.inf  # the accounting window that it was made in
+    requested: float = 0.0  # units reported for the request that waits for the reply
+    request_id: str = ""  # id of that request; empty if none waits
+    correction: float = 0.0  # amount that corrects the total and is not usage
+    amount: float = 0.0  # amount added to the counter: reported usage, requested units and correction
+    window_start_ms: float = -math.inf  # start of the accounting window in which the call was made
 
 
 @dataclass(slots=True, eq=False)
 class LeaseCall:
-    """A call for the lease that lets one gateway correct a customer's total; it has no reply yet.
+    """A pending call for the lease that allows one gateway to correct a customer's total.
 
-    All gateways that get a drifted total find it so within the time of a call; if each of them corrected it,
-    it would be further off. The lease is a key of its own on the counter: the first call for it gets 1 in
-    reply, and it lives until the correction has reached all gateways.
+    All gateways that receive a drifted total notice it within the time of one call. If each of them corrected
+    it, the total would be wrong by a multiple of the drift. The lease is a counter key of its own. Its first
+    call gets the total 1, which grants the lease, and the key lives until the correction has reached all
+    gateways.
     """
 
     customer: Customer
@@ -86,7 +89,7 @@
 
 @dataclass(slots=True, eq=False)
 class ReplyResult:
-    """What a reply of the counter brought about."""
+    """The effects of a counter reply that its receiver has to carry out."""
 
-    request_id: str = ""  # the request that waited for it; empty: none
+    request_id: str = ""  # id of the request that waited for the reply; empty if none did
     actions: list[Action] = field(default_factory=list)
