--- a/quota_gateway/settings.py
+++ b/quota_gateway/settings.py
@@ -1,10 +1,11 @@
 """The settings of one gateway, decoded once for every program that needs them.
 
-The operators' pages name the keys of the settings object (WIRE, section 8); the mapping from those names to
-this program's stands in this module and nowhere else. `decode_settings` gives what the policy decides by;
-`decode_network_settings` gives the bounds that the gateway on sockets keeps besides. Unknown keys are
-ignored, missing ones and null get defaults, and a value of the wrong type raises `SettingsError`, which names
-its key.
+The keys of the settings object are defined by the simulator wire specification. Only this module maps them to
+the names of this program. `decode_settings` returns the settings of the policy; `decode_network_settings`
+returns the limits that only a gateway on sockets enforces.
+
+Unknown keys are ignored. Missing keys and nulls get defaults. A value of the wrong type raises
+`SettingsError`, which names its key.
 """
 
 from __future__ import annotations
@@ -16,7 +17,10 @@
 
 
 class SettingsError(ValueError):
-    """A settings object that can't be used; `key` is the path of the offending value."""
+    """An invalid value in a settings object.
+
+    `key` is the path of the value, such as `profiles[1].aim_ms`; `problem` says what is wrong with it.
+    """
 
     def __init__(self, key: str, problem: str) -> None:
         super().__init__(f"{key}: {problem}")
@@ -28,12 +32,12 @@
     """Whether a request may be carried out more than once."""
 
     IDEMPOTENT = "idempotent"
-    KEYED = "keyed"  # servers deduplicate by idempotency key
+    KEYED = "keyed"  # servers deduplicate requests by idempotency key
     NON_IDEMPOTENT = "non_idempotent"
 
 
 class DeduplicationScope(Enum):
-    """Which servers drop repeats of one keyed request."""
+    """The servers among which repeats of a keyed request are detected and dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -42,46 +46,50 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests."""
+    """A class of requests with the same latency objective, weight and idempotency."""
 
     name: str
-    latency_objective_ms: float  # an answer within this time earns the full weight
-    priority_weight: float
+    latency_objective_ms: float  # a response within this time earns the full weight
+    priority_weight: float  # value of a request relative to those of other classes
     idempotency: Idempotency
-    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL  # keyed only
-    deduplication_window_ms: float = 0.0  # keyed only: how long servers remember a key
-    late_weight: float = 0.0  # share of the weight that a later answer earns
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL  # keyed requests only
+    deduplication_window_ms: float = 0.0  # keyed requests only: how long servers remember a key
+    late_weight: float = 0.0  # share of the weight that a later response earns
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One plan; its quotas hold for each customer over all gateways together. 0 means no such limit."""
+    """A plan. Its quotas hold for each customer, over all gateways together; a limit of 0 means no limit."""
 
     name: str
-    price: float = 1.0
+    price: float = 1.0  # factor of the priority of its customers' requests
     rate: float = 0.0  # units a second
-    burst: float = 0.0  # units that the customer's token bucket holds at most
-    max_in_flight: int = 0  # attempts in flight at once
+    burst: float = 0.0  # capacity of the customer's token bucket, units
+    max_in_flight: int = 0  # attempts in flight
     hard_limit_rate: float = 0.0  # units a second
     hard_limit_burst: float = 0.0  # units
-    hard_limit_slack: float = 0.0  # units
-    over_quota_weight: float = 0.0  # share of its weight that a request beyond the quota earns
-    over_quota_cost: float = 0.0  # share of its weight that one costs
+    hard_limit_slack: float = 0.0  # units by which the hard limit may be exceeded
+    over_quota_weight: float = 0.0  # share of its weight that a request over the quota earns
+    over_quota_cost: float = 0.0  # share of its weight that a request over the quota costs
 
 
 @dataclass(frozen=True, slots=True)
 class SlowStartSettings:
-    """The capacity of a server that is warming up, and the overload that makes it fail."""
+    """The capacity of a server that is warming up, and the overload that makes it fail.
 
-    initial_capacity_share: float = 0.2  # least share of its capacity that a server starts with
-    warm_up_ms: float = 20000.0  # it is warm after this time at most
-    overload_factor: float = 2.0  # sent more than this many times its present capacity ...
-    overload_window_ms: float = 1000.0  # ... for this long, a server that is warming up fails
+    A warming server fails if it is sent more than `overload_factor` times its present capacity for
+    `overload_window_ms`.
+    """
+
+    initial_capacity_share: float = 0.2  # minimum share of its full capacity with which a server starts
+    warm_up_ms: float = 20000.0  # maximum time from the start of a server until it is warm
+    overload_factor: float = 2.0
+    overload_window_ms: float = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings that the policy decides by, fixed at the start."""
+    """The settings of the policy, which do not change while it runs."""
 
     zone: str
     gateway_count: int
@@ -89,25 +97,25 @@
     plans: tuple[Plan, ...]
     slow_start: SlowStartSettings
     max_attempts: int = 3
-    max_pending_requests: int = 20000  # requests a gateway may hold at once
-    max_retry_after_ms: float = 1000.0  # 0: none may be given
-    counter_enabled: bool = False  # a shared counter may be called
-    counter_timeout_ms: float = 50.0  # a call to it is given up after this
-    watch_required: bool = False  # updates to the endpoint list come only when asked for
-    endpoint_weights_known: bool = False  # `Endpoint.weight` says how large a server is
-    cross_zone_cost: float = 0.0
-    gateway_index: int = 0  # of this gateway among them, from 0
+    max_pending_requests: int = 20000  # unanswered requests that a gateway may hold
+    max_retry_after_ms: float = 1000.0  # upper bound; 0 if rejections must not carry a retry-after
+    counter_enabled: bool = False  # whether there is a shared counter to call
+    counter_timeout_ms: float = 50.0  # time after which a call to the shared counter fails
+    watch_required: bool = False  # whether updates of the endpoint list come only after a watch request
+    endpoint_weights_known: bool = False  # whether `Endpoint.weight` is the relative capacity of a server
+    cross_zone_cost: float = 0.0  # cost of an attempt in another zone
+    gateway_index: int = 0  # index of this gateway, from 0 up to `gateway_count`
 
 
 @dataclass(frozen=True, slots=True)
 class NetworkSettings:
-    """The settings that only a gateway on sockets needs."""
+    """The settings that only a gateway on sockets uses."""
 
-    connect_timeout_ms: float  # to a server
-    connection_idle_ms: float  # servers close a connection that has been idle for this long
-    drain_grace_ms: float  # a draining server takes requests for this long after it was listed so
-    max_request_units: float
-    max_deadline_ms: float  # longer deadlines are cut to this, so that none holds a slot for minutes
+    connect_timeout_ms: float  # time-out of a connection attempt to a server
+    connection_idle_ms: float  # idle time after which servers close a connection
+    drain_grace_ms: float  # time for which a server accepts requests after it is listed as draining
+    max_request_units: float  # upper bound of the units of one request
+    max_deadline_ms: float  # upper bound of deadlines, so that no request holds a slot for minutes
 
 
 IDEMPOTENCY_NAMES = {
@@ -122,7 +130,7 @@
 }
 
 
-# Defaults of `NetworkSettings`, for keys that the settings leave out (WIRE, section 8).
+# Values of `NetworkSettings` for missing keys, from the simulator wire specification.
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0
 DEFAULT_CONNECTION_IDLE_MS = 15_000.0
 DEFAULT_DRAIN_GRACE_MS = 250.0
@@ -131,18 +139,22 @@
 
 
 def number_or(value: Any, default: float = 0.0) -> float:
-    """Return a number, or the default for null and booleans; ValueError or TypeError for anything else."""
+    """Convert a JSON value to a number; null and booleans give the default.
+
+    Raises ValueError or TypeError for a value that `float` does not accept.
+    """
     return default if value is None or isinstance(value, bool) else float(value)
 
 
 class _Section:
-    """One object of the settings, read key by key."""
+    """A JSON object of the settings, with its path for error messages."""
 
     def __init__(self, values: Mapping[str, Any], path: str = "") -> None:
         self.values = values
         self.path = path
 
     def key_path(self, key: str) -> str:
+        """Return the path of a key of this object from the root of the settings."""
         return f"{self.path}.{key}" if self.path else key
 
     def text(self, key: str) -> str:
@@ -166,12 +178,12 @@
             raise SettingsError(self.key_path(key), f"not a number: {number!r}") from None
 
     def section(self, key: str) -> _Section:
-        """Return a nested object; an empty one where the value is none."""
+        """Return a nested object, or an empty one if the value is not an object."""
         value = self.values.get(key)
         return _Section(value if isinstance(value, dict) else {}, self.key_path(key))
 
     def rows(self, key: str) -> list[_Section]:
-        """Return the objects of an array, passing over anything else."""
+        """Return the objects of an array, without its other items; an empty list if the value is no array."""
         value = self.values.get(key)
         rows = value if isinstance(value, list) else []
         return [
@@ -182,7 +194,10 @@
 
 
 def decode_settings(raw: Mapping[str, Any]) -> Settings:
-    """Decode what the policy decides by; missing keys get the safest reading."""
+    """Decode the settings of the policy.
+
+    Missing keys get safe values, such as a single attempt and requests that must not be repeated.
+    """
     settings = _Section(raw)
     limits = settings.section("limits")
     domain = settings.section("domain")
@@ -245,12 +260,12 @@
 def decode_network_settings(raw: Mapping[str, Any]) -> NetworkSettings:
     """Decode the settings of the gateway on sockets.
 
-    Stricter than `decode_settings`: every item of `profiles` has to be an object, and so has `domain`.
+    This is stricter than `decode_settings`: `domain` and every item of `profiles` have to be objects.
     """
     settings = _Section(raw)
     domain = raw.get("domain") or {}
     if not isinstance(domain, dict):
-        raise SettingsError("domain", "not an object")
+        raise SettingsError("domain", f"expected an object, got {type(domain).__name__}")
     limits = settings.section("limits")
     max_units = _Section(domain, "domain").number("max_units")
     return NetworkSettings(
@@ -263,14 +278,18 @@
 
 
 def _decode_max_deadline_ms(raw: Mapping[str, Any]) -> float:
-    """Return the longest hard limit of the classes, or the default unless all of them have one."""
+    """Return the longest hard limit on the duration of a request of any class.
+
+    The default is returned unless every class has such a limit.
+    """
     rows = raw.get("profiles")
     if not isinstance(rows, list):
-        raise SettingsError("profiles", "not an array")
-    deadlines = []
+        raise SettingsError("profiles", f"expected an array, got {type(rows).__name__}")
+    hard_limits_ms = []
     for index, row in enumerate(rows):
         path = f"profiles[{index}]"
         if not isinstance(row, dict):
-            raise SettingsError(path, "not an object")
-        deadlines.append(_Section(row, path).number("hard_limit_ms"))
-    return max(deadlines) if deadlines and min(deadlines) > 0 else DEFAULT_MAX_DEADLINE_MS
+            raise SettingsError(path, f"expected an object, got {type(row).__name__}")
+        hard_limits_ms.append(_Section(row, path).number("hard_limit_ms"))
+    all_limited = hard_limits_ms and min(hard_limits_ms) > 0
+    return max(hard_limits_ms) if all_limited else DEFAULT_MAX_DEADLINE_MS
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings object: defaults, keys that are passed over, and errors that name the key."""
+"""Decoding of the settings object: defaults, ignored values, and errors that name the key."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 )
 
 
-def test_missing_settings_get_the_safest_reading() -> None:
-    bare = decode_settings({"profiles": [{"name": "x"}, None], "packages": None, "limits": None})
-    assert bare.classes[0].idempotency is Idempotency.NON_IDEMPOTENT
-    assert bare.max_attempts == 1
-    assert bare.gateway_count == 1
-    assert not bare.counter_enabled
-    assert bare.plans == ()
+def test_missing_settings_get_safe_defaults() -> None:
+    settings = decode_settings({"profiles": [{"name": "x"}, None], "packages": None, "limits": None})
+    assert settings.classes[0].idempotency is Idempotency.NON_IDEMPOTENT
+    assert settings.max_attempts == 1
+    assert settings.gateway_count == 1
+    assert not settings.counter_enabled
+    assert settings.plans == ()
 
 
 @pytest.mark.parametrize(
@@ -35,7 +35,7 @@
         ("prices.cross_zone", {"prices": {"cross_zone": "x"}}),
     ],
 )
-def test_a_value_of_the_wrong_type_is_named(key: str, raw: dict[str, Any]) -> None:
+def test_error_names_the_key_of_a_value_of_the_wrong_type(key: str, raw: dict[str, Any]) -> None:
     with pytest.raises(SettingsError, match="not a number") as caught:
         decode_settings(raw)
     assert caught.value.key == key
@@ -49,7 +49,7 @@
     assert decode_network_settings({"profiles": partly_limited}) == defaults
 
 
-def test_network_settings_are_read() -> None:
+def test_network_settings_are_decoded() -> None:
     raw = {
         "profiles": [{"hard_limit_ms": 900.0}, {"hard_limit_ms": 1700}],
         "limits": {"connect_timeout_ms": 1.0, "conn_idle_ms": "2"},
@@ -70,7 +70,7 @@
         ("limits.connect_timeout_ms", {"profiles": [], "limits": {"connect_timeout_ms": "x"}}),
     ],
 )
-def test_network_settings_that_cannot_be_used_are_named(key: str, raw: dict[str, Any]) -> None:
+def test_error_names_the_key_of_an_invalid_network_setting(key: str, raw: dict[str, Any]) -> None:
     with pytest.raises(SettingsError) as caught:
         decode_network_settings(raw)
     assert caught.value.key == key
