--- a/quota_gateway/__init__.py
+++ b/quota_gateway/__init__.py
@@ -1,1 +1,1 @@
-"""A quota-keeping gateway for a shared API: its decisions, its network code and its lab."""
+"""A quota-keeping gateway for a shared API: its policy, its network code, and the lab that tests it."""
--- a/quota_gateway/logfmt.py
+++ b/quota_gateway/logfmt.py
@@ -1,4 +1,4 @@
-"""The form of log events in every program: an event name, then fields as `key=value` (logfmt)."""
+"""Formatting of log events as logfmt: an event name, followed by fields as `key=value`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,11 @@
 
 
 def format_event(event: str, fields: Iterable[tuple[str, object]] = ()) -> str:
-    """Render a log event; values with spaces, quotes or equals signs are quoted, line breaks replaced."""
+    """Return a log event as one line.
+
+    White space in a value, line breaks included, is collapsed to single spaces. Values that are empty or have
+    spaces, quotes or equals signs are quoted.
+    """
     return " ".join([f"event={event}", *(f"{key}={_format_value(value)}" for key, value in fields)])
 
 
--- a/quota_gateway/simulator_adapter.py
+++ b/quota_gateway/simulator_adapter.py
@@ -1,8 +1,8 @@
-"""Hosts policies for the simulator and translates its wire of JSON lines (WIRE). It decides nothing.
+"""Hosts policies for the simulator: translates between its JSON lines and the policy's contract.
 
-Run as ``python -m quota_gateway.simulator_adapter``: each line of standard input is a batch of messages,
-answered by a line of actions on standard output. The names on the wire are mapped to those of the policy's
-contract here and nowhere else.
+Run as ``python -m quota_gateway.simulator_adapter``. Each line of standard input is a batch of messages, and
+is answered by a line of actions on standard output. The simulator wire specification defines both. Only this
+module maps the names on the wire to those of the policy's contract. It makes no decisions.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
     "warm_copy": UpdateKind.CACHED_SNAPSHOT,
     "lost": UpdateKind.WATCH_FAILED,
 }
-# The number of arguments of each message; missing ones count as null.
+# Number of arguments of each kind of message. Missing trailing arguments count as null.
 ARGUMENT_COUNTS = {
     "create": 3,
     "shutdown": 1,
@@ -79,40 +79,48 @@
     "whisper": 3,
     "ledger_reply": 5,
 }
-ENDPOINT_COLUMNS = 7
-QUOTED_CHARACTERS = 200  # of a message that an error quotes
+ENDPOINT_COLUMNS = 7  # columns of a row of a `directory` message
+MAX_QUOTED_CHARACTERS = 200  # maximum length of the quotation of a message in an error
 
 E = TypeVar("E", bound=Enum)
-WireAction = list[Any]  # an action's name and arguments, as they are written
+WireAction = list[Any]  # name and arguments of an action on the wire
 
 
 class WireError(ValueError):
-    """A message that this adapter can't read."""
+    """A line or message from the simulator that violates the wire specification."""
 
 
 class GatewayHost:
-    """The gateways of one process, by their ids. They share the wire's endpoint lists and nothing else."""
+    """The gateways of one process. They share the endpoint lists from the wire and nothing else."""
 
     def __init__(self) -> None:
-        self.gateways: dict[int, Gateway] = {}
-        self._report_fields: dict[int, list[str]] = {}  # of each gateway: the columns of a load report
-        self._endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}  # by the number that the wire gives them
+        self.gateways: dict[int, Gateway] = {}  # by gateway id
+        self._report_fields: dict[int, list[str]] = {}  # columns of the load reports, by gateway id
+        self._endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}  # by the list's number on the wire
 
     def handle_line(self, text: str) -> str:
-        """Answer one batch of messages; raises `WireError`."""
+        """Process a line with one batch of messages; return the line with the actions, without a line break.
+
+        Raises `WireError` for a batch or a message that can't be decoded. The messages before it in the batch
+        are processed, but their actions are lost.
+        """
         try:
             batch = json.loads(text)
-            now_ms, inbox = float(batch["moment_ms"]), batch["inbox"]
+            now_ms = float(batch["moment_ms"])
+            inbox = batch["inbox"]
         except (ValueError, KeyError, TypeError) as error:
-            raise WireError(f"not a batch ({error!r}): {text[:QUOTED_CHARACTERS]!r}") from error
+            quoted = text[:MAX_QUOTED_CHARACTERS]
+            raise WireError(f"expected an object with moment_ms and inbox ({error!r}): {quoted!r}") from error
         if not isinstance(inbox, list):
-            raise WireError(f"inbox is not a list: {text[:QUOTED_CHARACTERS]!r}")
+            quoted = text[:MAX_QUOTED_CHARACTERS]
+            raise WireError(f"inbox: expected an array, got {type(inbox).__name__}: {quoted!r}")
         actions: list[WireAction] = []
         for message in inbox:
             actions += self._handle_message(now_ms, message)
         return json.dumps({"actions": actions}, separators=(",", ":"))
 
     def _handle_message(self, now_ms: float, message: Any) -> list[WireAction]:
+        """Process one message: update the lists and gateways here, or pass an event to a gateway."""
         with _wire_errors(message):
             kind, arguments = _split_message(message)
             if kind == "directory":
@@ -126,7 +134,7 @@
             return self._create_gateway(gateway_id, message, arguments)
         with _wire_errors(message):
             if gateway_id not in self.gateways:
-                raise WireError(f"event for gateway {gateway_id}, which was not created")
+                raise WireError(f"{kind!r} message for gateway {gateway_id}, which does not exist")
             event = self._decode_event(kind, gateway_id, arguments)
         if event is None:
             return []
@@ -135,7 +143,8 @@
     def _create_gateway(self, gateway_id: int, message: Any, arguments: Sequence[Any]) -> list[WireAction]:
         with _wire_errors(message):
             raw_settings = arguments[2] or {}
-            settings, seed = decode_settings(raw_settings), int(arguments[1])
+            settings = decode_settings(raw_settings)
+            seed = int(arguments[1])
             reporting = raw_settings.get("reporting") or {}
             self._report_fields[gateway_id] = list(reporting.get("fields") or [])
 
@@ -146,7 +155,7 @@
         return _run_policy(gateway_id, create)
 
     def _decode_event(self, kind: str, gateway_id: int, arguments: Sequence[Any]) -> Event | None:
-        """Decode an event of the policy's contract; None for probes and messages that no policy asks for."""
+        """Decode an event of the policy's contract; None for messages that have no counterpart in it."""
         match kind:
             case "accept":
                 return _decode_request(arguments)
@@ -165,7 +174,7 @@
         return None
 
     def _decode_endpoint_update(self, arguments: Sequence[Any]) -> EndpointUpdate:
-        kind = _decode_name(UPDATE_KIND_NAMES, arguments[1], "list kind")
+        kind = _decode_name(UPDATE_KIND_NAMES, arguments[1], "kind of endpoint list")
         if kind is UpdateKind.WATCH_FAILED:
             return EndpointUpdate(kind)
         return EndpointUpdate(kind, self._endpoint_lists[int(arguments[3])])
@@ -173,40 +182,44 @@
 
 @contextmanager
 def _wire_errors(message: Any) -> Iterator[None]:
-    """Raise `WireError` for whatever a malformed message makes a decoder raise."""
+    """Convert the exceptions that a malformed message causes in a decoder to `WireError`."""
     try:
         yield
     except WireError:
         raise
     except (ValueError, KeyError, TypeError, IndexError, AttributeError) as error:
-        quoted = json.dumps(message)[:QUOTED_CHARACTERS]
-        raise WireError(f"can't read event ({error!r}): {quoted}") from error
+        quoted = json.dumps(message)[:MAX_QUOTED_CHARACTERS]
+        raise WireError(f"malformed message ({error!r}): {quoted}") from error
+
 
+def _run_policy(gateway_id: int, policy_call: Callable[[], list[Action]]) -> list[WireAction]:
+    """Run a call to a gateway and encode its actions.
 
-def _run_policy(gateway_id: int, step: Callable[[], list[Action]]) -> list[WireAction]:
-    """Run a step of a gateway; the wire takes the text of any failure in it as an action."""
+    An exception becomes a single `die` action with the exception's type and text.
+    """
     try:
-        actions = step()
+        actions = policy_call()
     except Exception as error:
         return [["die", gateway_id, f"{type(error).__name__}: {error}"]]
     return [encode_action(gateway_id, action) for action in actions]
 
 
 def _split_message(message: Any) -> tuple[str, list[Any]]:
-    """Return the kind of a message and its arguments, filled up with nulls."""
-    kind, arguments = message[0], list(message[1:])
+    """Return the kind of a message and its arguments, padded with None."""
+    kind = message[0]
+    arguments = list(message[1:])
     count = ARGUMENT_COUNTS.get(kind)
     if count is None:
-        raise WireError(f"unknown event {kind!r}")
+        raise WireError(f"unknown kind of message {kind!r}; expected one of {', '.join(ARGUMENT_COUNTS)}")
     return kind, arguments + [None] * (count - len(arguments))
 
 
-def _decode_name(names: dict[str, E], value: Any, what: str) -> E:
-    """Return the member that a name on the wire stands for."""
+def _decode_name(names: dict[str, E], value: Any, meaning: str) -> E:
+    """Return the enum member for a name on the wire; `meaning` describes the name in the error."""
     try:
         return names[value]
     except (KeyError, TypeError):
-        raise WireError(f"unknown {what} {value!r}") from None
+        raise WireError(f"unknown {meaning} {value!r}; expected one of {', '.join(names)}") from None
 
 
 def _decode_endpoint(row: Sequence[Any]) -> Endpoint:
@@ -258,11 +271,12 @@
 
 
 def _reported_number(value: Any) -> float | None:
+    """Return a number of a load report, or None if the value is missing or not a number."""
     return float(value) if isinstance(value, int | float) and not isinstance(value, bool) else None
 
 
 def encode_action(gateway_id: int, action: Action) -> WireAction:
-    """Encode an action of a gateway for the wire."""
+    """Return the name and arguments of a gateway's action on the wire."""
     match action:
         case StartAttempt(request_id, server_id, timeout_ms):
             return ["hand_off", gateway_id, request_id, timeout_ms, server_id]
@@ -283,7 +297,7 @@
 
 
 def serve(lines: Iterable[str], out: TextIO) -> int:
-    """Answer every line until the input ends; return the exit status, 1 for a line that can't be read."""
+    """Answer every line until the input ends or a line can't be decoded; return the exit status, 0 or 1."""
     host = GatewayHost()
     for line in lines:
         if not line.strip():
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The wire adapter: every event and action, odd input, and the command that the deploy file starts."""
+"""The simulator adapter: every event and action, malformed input, and the command of the deploy file."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from quota_gateway.simulator_adapter import GatewayHost, WireError, encode_action, serve
 
 ROOT = Path(__file__).resolve().parent.parent
-PARAMS: dict[str, Any] = {
+RAW_SETTINGS: dict[str, Any] = {
     "my_zone": "a",
     "balancers": 2,
     "me": 0,
@@ -43,60 +43,63 @@
 }
 
 
-def entry(server: str, state: str = "active", started: float | None = None) -> list[Any]:
-    return [1, started, "a", 0, "std", server, state]
+def endpoint_row(server_id: str, state: str = "active", started_ms: float | None = None) -> list[Any]:
+    return [1, started_ms, "a", 0, "std", server_id, state]
 
 
-def line(now: float, *events: list[Any]) -> str:
-    return json.dumps({"moment_ms": now, "inbox": events})
+def batch_line(now_ms: float, *messages: list[Any]) -> str:
+    return json.dumps({"moment_ms": now_ms, "inbox": messages})
 
 
-def accept(gid: int, ref: str) -> list[Any]:
-    return ["accept", gid, ref, "read", "basic", "c1", 900.0, 1, 2, 0, False, False]
+def accept_message(gateway_id: int, request_id: str) -> list[Any]:
+    return ["accept", gateway_id, request_id, "read", "basic", "c1", 900.0, 1, 2, 0, False, False]
 
 
-def started(*gids: int) -> GatewayHost:
+def host_with_gateways(*gateway_ids: int) -> GatewayHost:
     host = GatewayHost()
-    events: list[list[Any]] = []
-    for gid in gids:
-        events += [["create", gid, 7 + gid, PARAMS], ["directory", 0, [entry(f"s{gid}:1")]]]
-        events += [["topology", gid, "warm_copy", 1, 0]]
-    host.handle_line(line(10.0, *events))
+    messages: list[list[Any]] = []
+    for gateway_id in gateway_ids:
+        messages.append(["create", gateway_id, 7 + gateway_id, RAW_SETTINGS])
+        messages.append(["directory", 0, [endpoint_row(f"s{gateway_id}:1")]])
+        messages.append(["topology", gateway_id, "warm_copy", 1, 0])
+    host.handle_line(batch_line(10.0, *messages))
     return host
 
 
-def actions(host: GatewayHost, now: float, *events: list[Any]) -> list[list[Any]]:
-    found: list[list[Any]] = json.loads(host.handle_line(line(now, *events)))["actions"]
-    return found
+def handle_batch(host: GatewayHost, now_ms: float, *messages: list[Any]) -> list[list[Any]]:
+    actions: list[list[Any]] = json.loads(host.handle_line(batch_line(now_ms, *messages)))["actions"]
+    return actions
 
 
 def test_directory_numbers_are_reused_within_a_batch() -> None:
-    host = started(3, 5)
-    sent = [a for a in actions(host, 20.0, accept(3, "r3"), accept(5, "r5")) if a[0] == "hand_off"]
-    assert [(a[1], a[2], a[4]) for a in sent] == [(3, "r3", "s3:1"), (5, "r5", "s5:1")]
+    host = host_with_gateways(3, 5)
+    actions = handle_batch(host, 20.0, accept_message(3, "r3"), accept_message(5, "r5"))
+    attempts = [action for action in actions if action[0] == "hand_off"]
+    targets = [(action[1], action[2], action[4]) for action in attempts]
+    assert targets == [(3, "r3", "s3:1"), (5, "r5", "s5:1")]
 
 
 def test_every_event_is_decoded() -> None:
-    host = started(3)
-    actions(host, 20.0, accept(3, "r"))
-    pressure = [9, 4.0, None]
-    events: list[list[Any]] = [
-        ["ended", 3, "r", 0, "s3:1", "pass", 18.5, True, 86, 3, pressure],
+    host = host_with_gateways(3)
+    handle_batch(host, 20.0, accept_message(3, "r"))
+    load_report = [9, 4.0, None]
+    messages: list[list[Any]] = [
+        ["ended", 3, "r", 0, "s3:1", "pass", 18.5, True, 86, 3, load_report],
         ["ended", 3, "r", 0, "s3:1", "pass", 18.5, True, None, None, None],
         ["ended", 3, "r", 0, "s3:1", "pass", 18.5, True],
         ["streaming", 3, "r", 0, "s3:1", 5.0],
         ["gone", 3, "other"],
         ["alarm", 3, 77],
-        ["echo", 3, "s3:1", "pass", 1.0, pressure],
+        ["echo", 3, "s3:1", "pass", 1.0, load_report],
         ["whisper", 3, 1, "aGkgNw=="],
         ["ledger_reply", 3, 2.15, 9041552, 38, "pass"],
         ["topology", 3, "lost", 0, 0],
-        ["directory", 4, [entry("s4:1", started=15.0)]],
+        ["directory", 4, [endpoint_row("s4:1", started_ms=15.0)]],
         ["topology", 3, "incr", 2, 4],
         ["shutdown", 3],
     ]
-    for event in events:
-        assert all(a[0] != "die" for a in actions(host, 30.0, event)), event
+    for message in messages:
+        assert all(action[0] != "die" for action in handle_batch(host, 30.0, message)), message
     assert 3 not in host.gateways
 
 
@@ -104,12 +107,10 @@
     "outcome", ["pass", "fault", "no_room", "too_slow", "no_route", "cut", "undone", "stale_send"]
 )
 def test_every_outcome_is_decoded(outcome: str) -> None:
-    host = started(3)
-    actions(host, 20.0, accept(3, "r"))
-    replies = actions(
-        host, 30.0, ["ended", 3, "r", 0, "s3:1", outcome, 10.0, outcome == "pass", 0, 0, [1, 2, 3]]
-    )
-    assert all(a[0] != "die" for a in replies)
+    host = host_with_gateways(3)
+    handle_batch(host, 20.0, accept_message(3, "r"))
+    ended = ["ended", 3, "r", 0, "s3:1", outcome, 10.0, outcome == "pass", 0, 0, [1, 2, 3]]
+    assert all(action[0] != "die" for action in handle_batch(host, 30.0, ended))
 
 
 def test_every_action_is_encoded() -> None:
@@ -138,7 +139,9 @@
         '{"moment_ms": 1, "inbox": [7]}',
     ],
 )
-def test_a_malformed_line_is_reported_and_ends_it(text: str, capsys: pytest.CaptureFixture[str]) -> None:
+def test_malformed_line_is_reported_and_ends_the_process(
+    text: str, capsys: pytest.CaptureFixture[str]
+) -> None:
     out = io.StringIO()
     assert serve([text], out) == 1
     assert out.getvalue() == ""
@@ -147,22 +150,23 @@
         GatewayHost().handle_line(text)
 
 
-def test_failing_decision_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
-    host = started(3)
+def test_exception_in_the_policy_becomes_a_die_action(monkeypatch: pytest.MonkeyPatch) -> None:
+    host = host_with_gateways(3)
 
     def broken(now_ms: float, event: Event) -> list[Action]:
-        raise RuntimeError("out of luck")
+        raise RuntimeError("broken policy")
 
     monkeypatch.setattr(host.gateways[3], "handle", broken)
-    assert actions(host, 20.0, ["alarm", 3, 1]) == [["die", 3, "RuntimeError: out of luck"]]
+    assert handle_batch(host, 20.0, ["alarm", 3, 1]) == [["die", 3, "RuntimeError: broken policy"]]
 
 
 def test_gateways_of_one_process_share_nothing() -> None:
-    alone, together = started(3), started(3, 5)
-    for now in range(20, 400, 20):
-        first = actions(alone, now, accept(3, f"r{now}"))
-        second = actions(together, now, accept(5, f"q{now}"), accept(3, f"r{now}"))
-        assert first == [a for a in second if a[1] == 3]
+    alone, together = host_with_gateways(3), host_with_gateways(3, 5)
+    for now_ms in range(20, 400, 20):
+        first = handle_batch(alone, now_ms, accept_message(3, f"r{now_ms}"))
+        messages = accept_message(5, f"q{now_ms}"), accept_message(3, f"r{now_ms}")
+        second = handle_batch(together, now_ms, *messages)
+        assert first == [action for action in second if action[1] == 3]
 
 
 def test_deploy_file_starts_the_adapter() -> None:
@@ -170,15 +174,15 @@
     assert all((ROOT / name).is_file() for name in deploy["policy"])
     command = deploy["sim"].replace(".venv/bin/python", shlex.quote(sys.executable))
     session = [
-        line(0.0),
-        line(
+        batch_line(0.0),
+        batch_line(
             10.0,
-            ["create", 3, 7, PARAMS],
-            ["directory", 0, [entry("s:1")]],
+            ["create", 3, 7, RAW_SETTINGS],
+            ["directory", 0, [endpoint_row("s:1")]],
             ["topology", 3, "warm_copy", 1, 0],
         ),
-        line(20.0, accept(3, "r")),
-        line(40.0, ["ended", 3, "r", 0, "s:1", "pass", 18.0, True, 0, 0, [1, 2, 3]]),
+        batch_line(20.0, accept_message(3, "r")),
+        batch_line(40.0, ["ended", 3, "r", 0, "s:1", "pass", 18.0, True, 0, 0, [1, 2, 3]]),
     ]
     done = subprocess.run(
         ["/bin/sh", "-c", command],
@@ -192,7 +196,7 @@
     replies = [json.loads(reply)["actions"] for reply in done.stdout.splitlines()]
     assert len(replies) == 4
     assert replies[0] == []
-    assert [a[2] for a in replies[2] if a[0] == "hand_off"] == ["r"]
+    assert [action[2] for action in replies[2] if action[0] == "hand_off"] == ["r"]
 
 
 def test_readme_example_runs() -> None:
