--- a/tests/policy/fake_counter.py
+++ b/tests/policy/fake_counter.py
@@ -1,4 +1,4 @@
-"""A shared counter for tests: totals by key, each forgotten when its time to live is over."""
+"""A shared counter for tests: a total for each key, which expires after its time to live."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from quota_gateway.policy_api.actions import IncrementCounter
 from quota_gateway.policy_api.events import CallOutcome, CounterReply
 
-USAGE_TTL_MS = 10_000.0  # keys that live for at least this long hold usage; the others are leases
+MIN_USAGE_TTL_MS = 10_000.0  # minimum time to live of keys for usage; keys for leases live shorter
 
 
 @dataclass
 class Total:
-    """The total under one key."""
+    """The total of one key."""
 
     units: float
     expires_ms: float
@@ -20,14 +20,14 @@
 
 @dataclass
 class FakeCounter:
-    """The counter that one gateway or several call; how its calls end may be changed at any time."""
+    """A counter for one or more gateways. Tests may change `outcome` and `remote_units` at any time."""
 
-    outcome: CallOutcome = CallOutcome.OK
-    remote_units: float = 0.0  # usage that gateways outside the test add before each reply
-    totals: dict[int, Total] = field(default_factory=dict)
+    outcome: CallOutcome = CallOutcome.OK  # outcome of every call
+    remote_units: float = 0.0  # usage that gateways outside the test add with each usage call
+    totals: dict[int, Total] = field(default_factory=dict)  # by counter key
 
     def increment(self, now_ms: float, call: IncrementCounter, duration_ms: float = 0.0) -> CounterReply:
-        """Carry out a call; one that fails adds nothing."""
+        """Return the reply to a call. A call adds its amount only if `outcome` is OK."""
         total = self.totals.get(call.key)
         if self.outcome is CallOutcome.OK:
             if total is None or total.expires_ms <= now_ms:
@@ -36,10 +36,10 @@
         return CounterReply(call.key, total.units if total else 0.0, self.outcome, duration_ms)
 
     def flush(self) -> None:
-        """Lose all totals."""
+        """Delete all totals, as a restart of the counter does."""
         self.totals.clear()
 
 
 def holds_usage(call: IncrementCounter) -> bool:
-    """Whether a call reports usage, and does not ask for a correction lease."""
-    return call.ttl_ms >= USAGE_TTL_MS
+    """Whether a call reports usage, rather than requesting a correction lease."""
+    return call.ttl_ms >= MIN_USAGE_TTL_MS
--- a/tests/policy/simulated_fleet.py
+++ b/tests/policy/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""Gateways that share one clock: every event, call and reply stands in one queue, by its time."""
+"""A discrete-event simulation of gateways with one clock and one queue of events, calls and replies."""
 
 from __future__ import annotations
 
@@ -11,25 +11,27 @@
 from quota_gateway.policy_api.events import Event, TimerFired
 from tests.policy.fake_counter import FakeCounter
 
-COUNTER_CALL_MS = 12.0  # from a call to its reply; the counter takes it half way
+COUNTER_CALL_MS = 12.0  # round trip of a counter call, which reaches the counter after half of it
 
 
 class SimulatedFleet:
-    """Several gateways and their counter; subclasses say what becomes of their attempts."""
+    """Several gateways and their counter; subclasses implement the servers in `start_attempt`."""
 
     def __init__(self, gateways: Sequence[Gateway], now_ms: float) -> None:
         self.gateways = list(gateways)
         self.counter = FakeCounter()
         self.now_ms = now_ms
-        self._order = itertools.count()
+        self._sequence_numbers = itertools.count()
+        # Heap of time, sequence number, gateway index, and event or call. The sequence number keeps items of
+        # the same time in the order in which they were scheduled.
         self._queue: list[tuple[float, int, int, Event | IncrementCounter]] = []
 
     def schedule(self, at_ms: float, gateway: int, item: Event | IncrementCounter) -> None:
-        """Schedule an event of a gateway, or the arrival of its call at the counter."""
-        heapq.heappush(self._queue, (at_ms, next(self._order), gateway, item))
+        """Schedule an event for a gateway, or the arrival of its call at the counter."""
+        heapq.heappush(self._queue, (at_ms, next(self._sequence_numbers), gateway, item))
 
     def run_until(self, end_ms: float) -> None:
-        """Let time pass."""
+        """Process all items up to and including `end_ms`."""
         while self._queue and self._queue[0][0] <= end_ms:
             self.now_ms, _, gateway, item = heapq.heappop(self._queue)
             if isinstance(item, IncrementCounter):
@@ -40,7 +42,7 @@
         self.now_ms = end_ms
 
     def handle(self, gateway: int, event: Event) -> None:
-        """Hand an event to a gateway and carry out the actions."""
+        """Pass an event to a gateway and execute the actions that it returns."""
         for action in self.gateways[gateway].handle(self.now_ms, event):
             if isinstance(action, SetTimer):
                 self.schedule(action.at_ms, gateway, TimerFired(action.token))
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -1,4 +1,4 @@
-"""Admission by a customer's plan: rate, burst, attempts in flight, hard limit."""
+"""Admission by the limits of a customer's plan: rate, burst, attempts in flight, hard limit."""
 
 from __future__ import annotations
 
@@ -34,21 +34,21 @@
     assert of_type(host.request(plan="open")[1], StartAttempt)
 
 
-def test_rejections_carry_a_retry_after_that_clients_heed() -> None:
+def test_retry_after_of_rejections_is_within_the_settings() -> None:
     host = ScriptedHost(make_endpoints(4))
-    rejections = [answer for _ in range(30) for answer in of_type(host.request(plan="rate")[1], Reject)]
+    rejections = [reject for _ in range(30) for reject in of_type(host.request(plan="rate")[1], Reject)]
     assert rejections
-    assert all(1.0 <= answer.retry_after_ms <= SETTINGS.max_retry_after_ms for answer in rejections)
+    assert all(1.0 <= reject.retry_after_ms <= SETTINGS.max_retry_after_ms for reject in rejections)
 
 
 def test_every_rejection_of_a_flood_carries_a_retry_after() -> None:
     host = ScriptedHost(make_endpoints(4))
-    rejections = [answer for _ in range(60) for answer in of_type(host.request(plan="rate")[1], Reject)]
+    rejections = [reject for _ in range(60) for reject in of_type(host.request(plan="rate")[1], Reject)]
     assert rejections
-    assert all(0 < answer.retry_after_ms <= 500.0 for answer in rejections)
+    assert all(0 < reject.retry_after_ms <= 500.0 for reject in rejections)
 
 
-def test_more_customer_gateways_than_there_are_mean_all_of_them() -> None:
+def test_customer_gateway_count_is_capped_by_the_settings() -> None:
     host = ScriptedHost(make_endpoints(4), SETTINGS)
     host.request(plan="rate", gateways=5000)
     assert host.gateway.quota.customers["c"].gateway_count == SETTINGS.gateway_count
@@ -57,7 +57,7 @@
 # --- without a counter reply ---------------------------------------------------------------------------
 
 
-def test_unavailable_counter_leaves_the_local_share() -> None:
+def test_unavailable_counter_limits_admission_to_the_local_share() -> None:
     host = ScriptedHost(make_endpoints(4), replace(SETTINGS, counter_enabled=True))
     host.counter.outcome = CallOutcome.UNREACHABLE
     admitted = count_admitted(host, 600, 25.0)
@@ -74,11 +74,12 @@
     for _ in range(40):
         admitted += host.serve(1.0, plan="rate", gateways=200)
         host.advance(500.0)
-    assert admitted == 2  # 20 s of a two-hundredth of two a second make no third
+    assert admitted == 2  # the local share refills 2 units/s * 20 s / 200 gateways, too little for a third
 
 
 def test_requests_without_the_reply_they_need_keep_to_the_local_bucket() -> None:
-    # Each gateway took a flooding customer's whole quota for its own until one of its calls got through.
+    # Guards against a gateway that admits a customer's whole quota until one of its calls succeeds. With
+    # hundreds of gateways, a flood would exceed the quota many times over.
     host = ScriptedHost(make_endpoints(4), HUNDREDS)
     host.gateway.counter_sync.health.call_share = 0.0001
     admitted = 0
@@ -88,61 +89,65 @@
     assert admitted == 2
 
 
-class HighDraws(random.Random):
-    """Draws that are always high: no request gets to make a call."""
+class HighRandom(random.Random):
+    """A generator of high values only: while calls are throttled, no request makes a call."""
 
     def random(self) -> float:
         return 0.999
 
 
-def test_last_reply_stands_for_requests_without_one_while_the_bucket_is_far_from_empty() -> None:
-    # With a counter that few calls get through to, equal local shares rejected customers who used little.
+def test_requests_without_a_reply_may_use_the_level_of_the_last_reply() -> None:
+    # Guards against needless rejections while counter calls are throttled: an equal local share is too small
+    # for a request even if the customer has used little of its quota.
     admitted = []
     for remote_units in (0.0, 5.0):
         host = ScriptedHost(make_endpoints(4), HUNDREDS)
         settle_counter(host)
         host.advance(300.0)
         host.counter.remote_units = remote_units
-        settle_counter(host)  # its replies tell whether the others have used much of the bucket
+        settle_counter(host)  # the replies show how much of the bucket the other gateways have used
         host.advance(150.0)
         host.gateway.counter_sync.health.call_share = 0.5
-        host.gateway.counter_sync.rng = host.gateway.quota.rng = HighDraws()
+        host.gateway.counter_sync.rng = HighRandom()
+        host.gateway.quota.rng = HighRandom()
         host.gateway.quota.customers["c"].local_bucket = 0.0
         _, actions = host.request(plan="rate", gateways=200)
         admitted.append(len(of_type(actions, StartAttempt)))
     assert admitted == [1, 0]
 
 
-@pytest.mark.parametrize(("remote_units", "least", "most"), [(0.0, 90, 100), (300.0, 0, 15)])
+@pytest.mark.parametrize(("remote_units", "min_percent", "max_percent"), [(0.0, 90, 100), (300.0, 0, 15)])
 def test_customers_without_any_reply_are_admitted_as_often_as_those_with_one(
-    remote_units: float, least: int, most: int
+    remote_units: float, min_percent: int, max_percent: int
 ) -> None:
-    # Each of hundreds of gateways admitted the first request of every customer: a quarter was over quota.
+    # Guards against admitting every customer's first request at each of hundreds of gateways, which made a
+    # quarter of the requests exceed the quota.
     host = ScriptedHost(make_endpoints(4), HUNDREDS)
     host.counter.remote_units = remote_units
     for i in range(60):
         host.serve(1.0, plan="rate", customer=f"replied{i}", gateways=200)
     admitted = without_reply = 0
     for i in range(120):
-        host.gateway.counter_sync.health.call_share = 0.1  # nine in ten make no call
+        host.gateway.counter_sync.health.call_share = 0.1  # nine of ten requests make no call
         request_id, actions = host.request(plan="rate", customer=f"new{i}", gateways=200)
         if of_type(actions, StartAttempt):
             host.complete(request_id, 0, CallOutcome.OK, 1.0)
         if not of_type(actions, IncrementCounter):
             without_reply += 1
             admitted += len(of_type(actions, StartAttempt))
-    assert least <= 100.0 * admitted / without_reply <= most
+    assert min_percent <= 100.0 * admitted / without_reply <= max_percent
 
 
-@pytest.mark.parametrize(("remote_units", "least", "most"), [(0.0, 26, 40), (6.0, 0, 14)])
+@pytest.mark.parametrize(("remote_units", "min_admitted", "max_admitted"), [(0.0, 26, 40), (6.0, 0, 14)])
 def test_local_share_follows_the_recent_usage_of_this_gateway(
-    remote_units: float, least: int, most: int
+    remote_units: float, min_admitted: int, max_admitted: int
 ) -> None:
-    # Equal shares rejected a customer here while gateways that it no longer came through kept theirs.
+    # Guards against equal local shares while the counter is unavailable: they reject a customer at the
+    # gateway that it uses, and leave shares idle at gateways that it has moved away from.
     host = ScriptedHost(make_endpoints(4))
     host.counter.remote_units = remote_units
 
-    def admitted_in_a_second() -> int:
+    def count_admitted_in_one_second() -> int:
         admitted = 0
         for _ in range(2):
             admitted += host.serve(1.0, plan="rate", gateways=2)
@@ -151,16 +156,18 @@
         return admitted
 
     for _ in range(20):
-        admitted_in_a_second()
+        count_admitted_in_one_second()
     host.counter.outcome = CallOutcome.TIMEOUT
     for _ in range(5):
-        admitted_in_a_second()
+        count_admitted_in_one_second()
     assert not host.gateway.counter_sync.health.available
-    assert least <= sum(admitted_in_a_second() for _ in range(18)) <= most  # equal shares admit 18 to 21
+    admitted = sum(count_admitted_in_one_second() for _ in range(18))
+    assert min_admitted <= admitted <= max_admitted  # equal shares would admit 18 to 21
 
 
 def test_usage_does_not_drive_a_local_bucket_below_zero() -> None:
-    # The busiest gateway of a customer rejected it for long once the counter became unavailable.
+    # Guards against a long period of rejections: a customer's busiest gateway would start with a deeply
+    # negative local bucket when the counter becomes unavailable.
     host = ScriptedHost(make_endpoints(4))
     count_admitted(host, 60, 250.0)
     assert host.gateway.quota.customers["c"].local_bucket >= 0.0
@@ -169,15 +176,16 @@
 # --- hard limits ---------------------------------------------------------------------------------------
 
 
-def test_new_customer_finds_units_in_its_hard_limit_bucket() -> None:
+def test_new_customer_starts_with_a_filled_hard_limit_bucket() -> None:
     host = ScriptedHost(make_endpoints(4))
     host.advance(30_000.0)
     assert of_type(host.request(plan="hard", customer="new", units=2.0)[1], StartAttempt)
 
 
 def flood(hosts: list[ScriptedHost], duration_ms: float, gap_ms: float, units: float) -> float:
-    """Send one customer's requests through all gateways as fast as they come; return the admitted units."""
-    admitted, elapsed_ms = 0.0, 0.0
+    """Send one customer's requests to all gateways in turn, `gap_ms` apart; return the admitted units."""
+    admitted = 0.0
+    elapsed_ms = 0.0
     while elapsed_ms < duration_ms:
         for host in hosts:
             request_id, actions = host.request(plan="hard", units=units)
@@ -210,7 +218,10 @@
 
 @pytest.mark.parametrize("outcome", [CallOutcome.OK, CallOutcome.REJECTED, CallOutcome.UNREACHABLE])
 def test_hard_limit_holds_over_all_gateways_whatever_the_counter_does(outcome: CallOutcome) -> None:
-    """The counter keeps half of it, equal parts the rest; a flood comes through all gateways at once."""
+    """A flood arrives at all gateways at once.
+
+    The counter enforces one half of the hard limit, the local buckets of the gateways the other half.
+    """
     hosts = [ScriptedHost(make_endpoints(4), HUNDREDS, seed=i) for i in range(6)]
     counter = FakeCounter(outcome)
     for host in hosts:
