--- a/tests/policy/test_capacity.py
+++ b/tests/policy/test_capacity.py
@@ -1,4 +1,4 @@
-"""Capacity of the back end: work in flight, late responses, recovery."""
+"""Capacity estimate of the back end: work in flight, late responses, recovery."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 def overload(host: ScriptedHost, seconds: float, duration_ms: float) -> int:
-    """Send more requests than are completed; return how many were in flight at most."""
+    """Send four requests for each one that completes; return the maximum number in flight."""
     in_flight: list[str] = []
-    most = 0
+    max_in_flight = 0
     for step in range(int(seconds * 100)):
         request_id, actions = host.request(customer=f"c{step % 7}", time_left_ms=4000.0)
         if of_type(actions, StartAttempt):
             in_flight.append(request_id)
-        most = max(most, len(in_flight))
+        max_in_flight = max(max_in_flight, len(in_flight))
         host.now_ms += 10.0
         if in_flight and step % 4 == 0:
             host.complete(in_flight.pop(0), 0, CallOutcome.OK, duration_ms)
         host.advance(0.0)
         host.reply_to_calls()
-    return most
+    return max_in_flight
 
 
 def test_in_flight_work_is_bounded_before_responses_are_late() -> None:
@@ -39,15 +39,17 @@
 
 
 def test_few_attempts_in_flight_are_not_taken_for_overload() -> None:
-    # Two attempts a server, over all gateways, are less than one attempt here; half of all was rejected.
+    # Guards against an overload signal from a few attempts. With hundreds of gateways, the threshold of two
+    # attempts per server is less than one attempt at each gateway, and half of all requests were rejected.
     host = ScriptedHost(make_endpoints(60), HUNDREDS)
     host.warm_up()
     admitted = [bool(of_type(host.request(customer=f"c{i}")[1], StartAttempt)) for i in range(4)]
     assert all(admitted)
 
 
-def test_late_responses_limit_capacity_where_few_are_seen() -> None:
-    # The median over all servers, most of them without a recent response, called a late fleet early.
+def test_late_responses_limit_capacity_at_a_gateway_that_sees_few() -> None:
+    # Guards against a median over servers: most of them have no recent response at this gateway, so that it
+    # reported a fleet with late responses as fast.
     host = ScriptedHost(make_endpoints(60), HUNDREDS)
     for i in range(16):
         request_id, actions = host.request(customer=f"c{i}", time_left_ms=4000.0)
