--- a/quota_gateway/settings.py
+++ b/quota_gateway/settings.py
@@ -104,7 +104,7 @@
     watch_required: bool = False  # whether updates of the endpoint list come only after a watch request
     endpoint_weights_known: bool = False  # whether `Endpoint.weight` is the relative capacity of a server
     cross_zone_cost: float = 0.0  # cost of an attempt in another zone
-    gateway_index: int = 0  # index of this gateway, from 0 up to `gateway_count`
+    gateway_index: int = 0  # index of this gateway, from 0 to `gateway_count` - 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,6 +118,7 @@
     max_deadline_ms: float  # upper bound of deadlines, so that no request holds a slot for minutes
 
 
+# Enum members by their names in the settings object.
 IDEMPOTENCY_NAMES = {
     "read_like": Idempotency.IDEMPOTENT,
     "idempotency_key": Idempotency.KEYED,
@@ -129,7 +130,6 @@
     "cell": DeduplicationScope.CELL,
 }
 
-
 # Values of `NetworkSettings` for missing keys, from the simulator wire specification.
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0
 DEFAULT_CONNECTION_IDLE_MS = 15_000.0
@@ -164,6 +164,7 @@
         return bool(self.values.get(key))
 
     def number(self, key: str, default: float = 0.0) -> float:
+        """Return a number; a missing key, null and booleans give the default."""
         value = self.values.get(key)
         try:
             return number_or(value, default)
@@ -171,6 +172,7 @@
             raise SettingsError(self.key_path(key), f"not a number: {value!r}") from None
 
     def integer(self, key: str, default: float = 0.0) -> int:
+        """Return a number without its fraction, with the same default values as `number`."""
         number = self.number(key, default)
         try:
             return int(number)
