--- a/quota_gateway/simulator_adapter.py
+++ b/quota_gateway/simulator_adapter.py
@@ -94,9 +94,11 @@
     """The gateways of one process. They share the endpoint lists from the wire and nothing else."""
 
     def __init__(self) -> None:
-        self.gateways: dict[int, Gateway] = {}  # by gateway id
-        self._report_fields: dict[int, list[str]] = {}  # columns of the load reports, by gateway id
-        self._endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}  # by the list's number on the wire
+        self.gateways: dict[int, Gateway] = {}  # keys are gateway ids
+        self._report_fields: dict[int, list[str]] = {}  # columns of load reports; keys are gateway ids
+        self._endpoint_lists: dict[
+            int, tuple[Endpoint, ...]
+        ] = {}  # keys are the numbers of the lists on the wire
 
     def handle_line(self, text: str) -> str:
         """Process a line with one batch of messages; return the line with the actions, without a line break.
--- a/tests/policy/fake_counter.py
+++ b/tests/policy/fake_counter.py
@@ -24,7 +24,7 @@
 
     outcome: CallOutcome = CallOutcome.OK  # outcome of every call
     remote_units: float = 0.0  # usage that gateways outside the test add with each usage call
-    totals: dict[int, Total] = field(default_factory=dict)  # by counter key
+    totals: dict[int, Total] = field(default_factory=dict)  # keys are counter keys
 
     def increment(self, now_ms: float, call: IncrementCounter, duration_ms: float = 0.0) -> CounterReply:
         """Return the reply to a call. A call adds its amount only if `outcome` is OK."""
