--- a/quota_gateway/policy/hash_ring.py
+++ b/quota_gateway/policy/hash_ring.py
@@ -1,10 +1,12 @@
-"""Hashes on which all gateways agree, and the ring that puts server ids in their order."""
+"""Hashes that are the same on all gateways, and a ring of server ids in the order of their hashes."""
 
 import hashlib
 from bisect import bisect_left, bisect_right
 from collections.abc import Collection, Container
 
-REBUILD_FRACTION = 40  # of the ring: if more ids change, it is sorted anew, as each insertion moves the rest
+# If more than 1/40 of the ring changes at once, the ring is sorted anew, because each single insertion moves
+# all positions behind it.
+REBUILD_DIVISOR = 40
 
 
 def stable_hash(text: str) -> int:
@@ -16,11 +18,15 @@
     """The ids of all listed servers in the order of their hashes."""
 
     def __init__(self) -> None:
-        self.positions: list[tuple[int, str]] = []  # hash, id; bare tuples, which Python sorts fastest
+        # Pairs of hash and id. They are plain tuples because Python sorts these fastest.
+        self.positions: list[tuple[int, str]] = []
 
     def update(self, changed: Collection[str], listed: Container[str]) -> None:
-        """Follow a change of the list: `changed` ids may have come or gone, `listed` ones are there now."""
-        if len(changed) * REBUILD_FRACTION > len(self.positions):
+        """Apply a change of the endpoint list.
+
+        `changed` holds the ids that were added or removed, `listed` all ids that are on the list now.
+        """
+        if len(changed) * REBUILD_DIVISOR > len(self.positions):
             self.positions = [position for position in self.positions if position[1] not in changed]
             self.positions += [(stable_hash(name), name) for name in changed if name in listed]
             self.positions.sort()
@@ -31,7 +37,7 @@
             self.positions[start:end] = [position] if server_id in listed else []
 
     def successors(self, angle: float, count: int) -> list[str]:
-        """Return up to `count` ids, going round from `angle`, a share of the ring from 0 up to 1."""
+        """Return up to `count` consecutive ids, clockwise from `angle`, a fraction of a full turn below 1."""
         size = len(self.positions)
         start = int(angle * size)
         return [self.positions[(start + i) % size][1] for i in range(min(count, size))]
