--- a/quota_gateway/policy/counter_sync.py
+++ b/quota_gateway/policy/counter_sync.py
@@ -205,12 +205,13 @@
         return self._set_level(now_ms, call, total, total_lost) if customer.plan.rate else []
 
     def _set_level(self, now_ms: float, call: UsageCall, total: float, total_lost: bool) -> list[Action]:
-        """Set the level of the bucket by the total; if that has drifted, request the correction lease."""
+        """Set the level of the bucket by the total, and request the correction lease if it has drifted."""
         customer = call.customer
         burst = customer.plan.burst
         refilled = customer.plan.rate * (now_ms - customer.window_start_ms) / 1000.0
-        # The units missing from a full bucket: by the total, and then with the usage not yet in the total.
+        # The units that are missing from a full bucket according to the total.
         counted = total + INITIAL_LEVEL_SHARE * burst - refilled - call.requested
+        # The total does not include these amounts yet.
         counted = counted + customer.in_flight_usage + customer.unreported_usage
         # A total that lags behind a full bucket does not show that nothing was spent. What this gateway has
         # admitted since the last reply, less the refill, is a lower bound.
@@ -222,7 +223,7 @@
 
         drift = spent - counted
         # A total that holds no more than this call is not corrected: many customers send a single request,
-        # and the correction would double the number of their calls.
+        # and the correction would cost two more calls for each of them.
         lags = total > call.amount + TOTAL_TOLERANCE_UNITS and drift > DRIFT_TOLERANCE_SHARE * burst
         # A total beyond an empty bucket includes requests, some of them large, that other gateways are about
         # to reject and refund. Therefore only a large excess counts as drift.
