--- a/quota_gateway/policy/quota.py
+++ b/quota_gateway/policy/quota.py
@@ -18,14 +18,14 @@
 CUSTOMER_IDLE_MS = 60_000.0
 DEMAND_WINDOW_S = 1.0  # time constant of the moving averages of demand and usage
 BUCKET_SPEND_S = 0.4  # time over which the level of a bucket is spread when it is compared with demand
-MAX_CREDIT_REQUESTS = 2.0  # upper bound of the admission credit, in requests of the present size
+MAX_CREDIT_REQUESTS = 2.0  # upper bound of the admission credit, in requests of the size to be admitted
 
 # Share of an in-flight limit that the mean load may use. The rest is a safety margin, because attempts
 # arrive at random and cluster.
 MAX_IN_FLIGHT_UTILIZATION = 0.6
-# Share of a hard limit's burst that is enforced by counter replies. The local buckets hold the rest.
+# Share of a hard limit's burst that counter replies enforce. The gateways' hard-limit buckets have the rest.
 COUNTER_HARD_LIMIT_SHARE = 0.5
-# Share of a hard limit's rate that refills the local buckets of all gateways together.
+# Share of a hard limit's rate that refills the hard-limit buckets of all gateways together.
 LOCAL_HARD_LIMIT_RATE_SHARE = 1.0 - 0.5 * COUNTER_HARD_LIMIT_SHARE
 
 # Weight of the prior that all gateways use a quota equally, in requests of observed usage.
@@ -34,7 +34,7 @@
 MIN_LOCAL_BURST_REQUESTS = 2.0
 # Age of the last counter reply up to which the remote usage is taken to continue. It decays after that.
 REMOTE_USAGE_FRESH_S = 1.5
-RESERVED_BURST_SHARE = 0.5  # share of the burst that only requests with a counter reply may use
+RESERVED_BURST_SHARE = 0.5  # share of the burst that is reserved for requests with a counter reply
 ROOM_SHARE_WEIGHT = 0.1  # weight of a new request in the moving share of requests that found room
 
 
@@ -87,14 +87,15 @@
         # A plan without a rate is refilled at the rate at which its attempts in flight complete.
         rate = plan.rate or MAX_IN_FLIGHT_UTILIZATION * plan.max_in_flight / self.mean_in_flight_s
         local_rate = rate * share
-        local_level = customer.local_bucket
+        local_level = customer.local_bucket_level
         max_local_level = max(local_level, _local_burst(customer, share))
-        customer.local_bucket = min(max_local_level, local_level + local_rate * elapsed_s)
+        customer.local_bucket_level = min(max_local_level, local_level + local_rate * elapsed_s)
 
         hard_burst = plan.hard_limit_burst * (1.0 - COUNTER_HARD_LIMIT_SHARE) / customer.gateway_count
         hard_rate = plan.hard_limit_rate * LOCAL_HARD_LIMIT_RATE_SHARE / customer.gateway_count
-        hard_level = customer.hard_limit_bucket
-        customer.hard_limit_bucket = min(max(hard_level, hard_burst), hard_level + hard_rate * elapsed_s)
+        hard_level = customer.hard_limit_bucket_level
+        max_hard_level = max(hard_level, hard_burst)
+        customer.hard_limit_bucket_level = min(max_hard_level, hard_level + hard_rate * elapsed_s)
 
         customer.local_demand *= math.exp(-elapsed_s / DEMAND_WINDOW_S)
         customer.refilled_at_ms = now_ms
@@ -118,9 +119,9 @@
         """
         plan = customer.plan
         customer.local_demand += units / DEMAND_WINDOW_S
-        over_hard_limit = plan.hard_limit_rate and customer.hard_limit_bucket < units
+        over_hard_limit = plan.hard_limit_rate and customer.hard_limit_bucket_level < units
         if over_hard_limit and not _reply_enforces_hard_limit(plan, reply):
-            shortfall = units - customer.hard_limit_bucket
+            shortfall = units - customer.hard_limit_bucket_level
             return shortfall / plan.hard_limit_rate * customer.gateway_count * 1000.0
         retry_after_ms = self._check_rate(now_ms, customer, units, reply) if plan.rate else None
         if retry_after_ms is None and plan.max_in_flight and self._in_flight_full(customer, units, reply):
@@ -132,9 +133,9 @@
         customer.admission_credit -= units
         customer.bucket_level = max(0.0, customer.bucket_level - units)
         customer.max_bucket_level = max(0.0, customer.max_bucket_level - units)
-        customer.local_bucket = max(0.0, customer.local_bucket - units)
+        customer.local_bucket_level = max(0.0, customer.local_bucket_level - units)
         if not _reply_enforces_hard_limit(customer.plan, reply):
-            customer.hard_limit_bucket -= units
+            customer.hard_limit_bucket_level -= units
 
     def forget_idle(self, now_ms: float) -> list[Customer]:
         """Remove and return the customers that have been idle for `CUSTOMER_IDLE_MS`.
@@ -159,8 +160,8 @@
         spare += plan.hard_limit_slack + plan.hard_limit_rate * (now_ms - self.started_at_ms) / 1000.0
         spare = min(plan.hard_limit_burst * (1.0 - COUNTER_HARD_LIMIT_SHARE), spare)
         customer = Customer(key, plan, gateway_count, now_ms, plan.burst, max_bucket_level=plan.burst)
-        customer.hard_limit_bucket = spare / gateway_count
-        customer.local_bucket = _local_burst(customer, _local_share(customer))
+        customer.hard_limit_bucket_level = spare / gateway_count
+        customer.local_bucket_level = _local_burst(customer, _local_share(customer))
         customer.window_length_ms = CUSTOMER_IDLE_MS if plan.rate else 1000.0 * DEMAND_WINDOW_S
         customer.window_offset = stable_hash(key) / 2.0**63
         return customer
@@ -176,7 +177,7 @@
             reply_is_recent = now_ms - customer.replied_at_ms < 1000.0 * plan.burst / plan.rate
             uses_last_reply = reply_is_recent and reply is ReplyState.MISSING
             unreserved = level - RESERVED_BURST_SHARE * plan.burst if uses_last_reply else 0.0
-            level = min(max(customer.local_bucket, unreserved), level)
+            level = min(max(customer.local_bucket_level, unreserved), level)
 
         demand = max(customer.local_demand + customer.remote_usage, 1e-9)
         admitted_share = min(1.0, (plan.rate + level / BUCKET_SPEND_S) / demand)
@@ -207,7 +208,7 @@
             return self.rng.random() > MAX_IN_FLIGHT_UTILIZATION * limit / max(expected_in_flight, 1e-9)
         if reply is ReplyState.NOT_NEEDED:
             return customer.in_flight >= max(1, local_limit) and self.available(customer) < 1.0
-        return customer.local_bucket < units and customer.in_flight >= local_limit
+        return customer.local_bucket_level < units and customer.in_flight >= local_limit
 
 
 def _expected_remote_usage(customer: Customer) -> float:
--- a/quota_gateway/policy_state/customers.py
+++ b/quota_gateway/policy_state/customers.py
@@ -34,8 +34,8 @@
     refilled_at_ms: float  # last refill of the buckets
     bucket_level: float  # estimated level of the token bucket
     max_bucket_level: float  # upper bound of that level, which ignores remote usage since the last reply
-    hard_limit_bucket: float = 0.0  # level of the hard-limit bucket
-    local_bucket: float = 0.0  # level of the local bucket
+    hard_limit_bucket_level: float = 0.0
+    local_bucket_level: float = 0.0
 
     last_seen_ms: float = NEVER_MS  # last request
     admission_credit: float = 1.0  # sum of admitted shares, which turns fractions of requests into whole ones
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -110,7 +110,7 @@
         host.gateway.counter_sync.health.call_share = 0.5
         host.gateway.counter_sync.rng = HighRandom()
         host.gateway.quota.rng = HighRandom()
-        host.gateway.quota.customers["c"].local_bucket = 0.0
+        host.gateway.quota.customers["c"].local_bucket_level = 0.0
         _, actions = host.request(plan="rate", gateways=200)
         admitted.append(len(of_type(actions, StartAttempt)))
     assert admitted == [1, 0]
@@ -170,7 +170,7 @@
     # negative local bucket when the counter becomes unavailable.
     host = ScriptedHost(make_endpoints(4))
     count_admitted(host, 60, 250.0)
-    assert host.gateway.quota.customers["c"].local_bucket >= 0.0
+    assert host.gateway.quota.customers["c"].local_bucket_level >= 0.0
 
 
 # --- hard limits ---------------------------------------------------------------------------------------
