--- a/quota_gateway/policy/capacity.py
+++ b/quota_gateway/policy/capacity.py
@@ -40,11 +40,11 @@
 
     def __init__(self) -> None:
         self.capacity = math.inf  # quota units a second; infinite while nothing limits it
-        self.demand: dict[float, float] = {}  # moving average by priority, units a second
-        # By priority: the sum of admitted shares, which turns fractions of requests into whole ones.
+        self.demand: dict[float, float] = {}  # moving average, units a second; keys are priorities
+        # Sum of admitted shares, which turns fractions of requests into whole ones. Keys are priorities.
         self.credit: dict[float, float] = {}
         self._window_start_ms: float | None = None
-        self._window_demand: dict[float, float] = {}  # demand of the present window by priority, units
+        self._window_demand: dict[float, float] = {}  # demand of the present window, units
         self._latency_ratios: list[float] = []  # one for each response in the present window
         self._in_flight_ms = 0.0  # work in flight, as the sum of mean service times
         self._pace = 0.0  # moving average of completed work, ms of mean service time a second
--- a/quota_gateway/policy/counter_sync.py
+++ b/quota_gateway/policy/counter_sync.py
@@ -51,8 +51,9 @@
         self.health = CounterHealth(settings)
         self._settings = settings
         self._quota = quota
-        self.unreported: dict[str, Customer] = {}  # customers with usage to report, by customer key
-        self._pending_calls: dict[int, deque[UsageCall | LeaseCall]] = {}  # by counter key, oldest first
+        self.unreported: dict[str, Customer] = {}  # customers with usage to report; keys are customer keys
+        # Pending calls, oldest first. Keys are counter keys.
+        self._pending_calls: dict[int, deque[UsageCall | LeaseCall]] = {}
 
     def refresh(self, now_ms: float, customer: Customer) -> None:
         """Bring a customer's accounting window and buckets up to date."""
@@ -125,8 +126,8 @@
     def on_reply(self, now_ms: float, reply: CounterReply) -> ReplyResult:
         """Process the reply to the oldest pending call of its key.
 
-        A reply without a pending call is ignored. A reply to a call of an earlier accounting window changes
-        nothing but the health of the counter.
+        A reply without a pending call is ignored. A reply to a call of an earlier accounting window updates
+        neither the usage nor the buckets, but still releases the request that waits for it.
         """
         if not (calls := self._pending_calls.get(reply.key)):
             return ReplyResult()
--- a/quota_gateway/policy/quota.py
+++ b/quota_gateway/policy/quota.py
@@ -45,10 +45,10 @@
         self.rng = rng
         self._gateway_count = settings.gateway_count
         self._plans = {plan.name: plan for plan in settings.plans}
-        self.customers: dict[str, Customer] = {}  # by customer key, least recently seen first
+        self.customers: dict[str, Customer] = {}  # keys are customer keys; least recently seen first
         self.started_at_ms = math.inf  # Unix time of this gateway's first event
         self.mean_in_flight_s = 0.2  # moving mean of attempt durations
-        # By plan name: the moving share of requests with a counter reply that found room in their bucket.
+        # Moving share of requests with a counter reply that found room in their bucket. Keys are plan names.
         self._room_shares: dict[str, float] = {}
 
     def customer_of(self, now_ms: float, request: Request) -> Customer | None:
@@ -169,28 +169,28 @@
     def _check_rate(self, now_ms: float, customer: Customer, units: float, reply: ReplyState) -> float | None:
         """Return None to admit a request by rate and burst, or the retry-after in ms."""
         plan = customer.plan
-        level = customer.bucket_level
+        usable_level = customer.bucket_level
         if reply in (ReplyState.MISSING, ReplyState.UNAVAILABLE):
             # Without a reply the local bucket limits a gateway; otherwise each one could spend the whole
             # quota. While the last reply is no older than the time in which an empty bucket refills, a
             # request may also use the level, less a reserve for requests with a reply.
             reply_is_recent = now_ms - customer.replied_at_ms < 1000.0 * plan.burst / plan.rate
             uses_last_reply = reply_is_recent and reply is ReplyState.MISSING
-            unreserved = level - RESERVED_BURST_SHARE * plan.burst if uses_last_reply else 0.0
-            level = min(max(customer.local_bucket_level, unreserved), level)
+            unreserved = usable_level - RESERVED_BURST_SHARE * plan.burst if uses_last_reply else 0.0
+            usable_level = min(max(customer.local_bucket_level, unreserved), usable_level)
 
         demand = max(customer.local_demand + customer.remote_usage, 1e-9)
-        admitted_share = min(1.0, (plan.rate + level / BUCKET_SPEND_S) / demand)
+        admitted_share = min(1.0, (plan.rate + usable_level / BUCKET_SPEND_S) / demand)
         credit = min(customer.admission_credit + admitted_share * units, MAX_CREDIT_REQUESTS * units)
         customer.admission_credit = credit
 
         room_share = self._room_shares.get(plan.name, 1.0)
         if reply is ReplyState.RECEIVED:
-            has_room = level >= units
+            has_room = usable_level >= units
             self._room_shares[plan.name] = room_share + ROOM_SHARE_WEIGHT * (has_room - room_share)
         # The counter serialises the calls of all gateways, so that a request with a reply needs no credit.
-        if level < units or (credit < units and reply is not ReplyState.RECEIVED):
-            return max(0.0, units - level) / plan.rate * 1000.0
+        if usable_level < units or (credit < units and reply is not ReplyState.RECEIVED):
+            return max(0.0, units - usable_level) / plan.rate * 1000.0
         # Nothing is known of the remote usage of a customer that never had a reply. Its requests are rejected
         # at random, as often as requests of the same plan with a reply found no room.
         never_replied = reply is ReplyState.MISSING and customer.replied_at_ms < 0.0
@@ -203,7 +203,7 @@
         local_limit = limit // customer.gateway_count
         if reply is ReplyState.RECEIVED:
             # Little's law: the demand times the mean duration is the number of attempts in flight. If it
-            # exceeds the usable part of the limit, requests are admitted with the ratio as probability.
+            # exceeds the usable part of the limit, the ratio of the two is the probability of admission.
             expected_in_flight = (customer.local_demand + customer.remote_usage) * self.mean_in_flight_s
             return self.rng.random() > MAX_IN_FLIGHT_UTILIZATION * limit / max(expected_in_flight, 1e-9)
         if reply is ReplyState.NOT_NEEDED:
@@ -232,7 +232,7 @@
 
 
 def _local_burst(customer: Customer, share: float) -> float:
-    """Return the units that the local bucket holds at most, for this gateway's share of the quota."""
+    """Return the capacity of the local bucket in units, for this gateway's share of the quota."""
     local_limit = (customer.plan.burst or customer.plan.max_in_flight) * share
     return max(local_limit, MIN_LOCAL_BURST_REQUESTS * customer.largest_request)
 
