--- a/tests/policy/test_decision_cost.py
+++ b/tests/policy/test_decision_cost.py
@@ -100,16 +100,19 @@
 
 
 def test_time_does_not_grow_with_the_list() -> None:
-    """Compares the best of several rounds, which other load on the machine affects least."""
+    """Compares the processor time of the thread, at its best of several rounds.
+
+    Wall-clock time includes preemption by other processes and grows on a busy machine.
+    """
     hosts = {count: host_with_servers(count) for count in (FEW_SERVERS, MANY_SERVERS)}
     best_s: dict[tuple[str, int], float] = {}
     for _ in range(15):
         for step, call in STEPS.items():
             for count, host in hosts.items():
-                start = time.perf_counter()
+                start_s = time.thread_time()
                 call(host)
-                elapsed_s = time.perf_counter() - start
-                best_s[step, count] = min(elapsed_s, best_s.get((step, count), elapsed_s))
+                cost_s = time.thread_time() - start_s
+                best_s[step, count] = min(cost_s, best_s.get((step, count), cost_s))
     assert best_s["decision", MANY_SERVERS] <= 1.5 * best_s["decision", FEW_SERVERS]
     assert (
         best_s["decision beside a full subset", MANY_SERVERS]
