--- a/quota_gateway/network/attempt.py
+++ b/quota_gateway/network/attempt.py
@@ -153,7 +153,11 @@
             self._write(connection)
 
     def _write(self, connection: ServerConnection) -> None:
-        """Write the request, after which the server may run it, unless the time or the connection is over."""
+        """Write the request on an open connection; from then on the server may run it.
+
+        If too little time is left or the connection is closing, nothing is written and the attempt completes
+        as UNREACHABLE.
+        """
         if self.connect_timer is not None:
             self.connect_timer.cancel()
         time_left_ms = int(1000.0 * (self.deadline - self.pool.owner.loop.time()))
--- a/quota_gateway/network/attempt_result.py
+++ b/quota_gateway/network/attempt_result.py
@@ -25,12 +25,15 @@
 def classify_response(response: resp.Message) -> AttemptResult:
     """Classify a complete RESP message from a server.
 
-        array of value, usage figures, load report or null   OK
-        BUSY [load report]                                   REJECTED
-        ERR failed [load report], or anything else           ERROR
+        array of the value, the usage figures and the load report   OK
+        BUSY [load report]                                          REJECTED
+        ERR failed [load report], or anything else                  ERROR
 
-    Only the exact forms count. A response that was corrupted on its way belongs to a request that may have
-    run. It must neither be served nor be taken for a rejection, which promises that the request did not run.
+    The value must be a bulk string. The usage figures are ignored, and a load report that is not a bulk
+    string counts as absent.
+
+    Any other response may have been corrupted in transit, and its request may have run. It must neither be
+    served nor be taken for a rejection, which promises that the request did not run.
     """
     if isinstance(response, list) and len(response) == 3:
         value, _, report = response
--- a/quota_gateway/network/bridge.py
+++ b/quota_gateway/network/bridge.py
@@ -86,7 +86,7 @@
         self.counter = counter  # None: every increment completes as UNREACHABLE
         self.in_flight: dict[str, InFlightRequest] = {}  # requests by policy request id
         self.attempts: dict[tuple[str, int], Attempt] = {}  # attempts in flight by request id and number
-        self.started_ms: dict[str, float] = {}  # last start (Unix time) by server id
+        self.started_ms: dict[str, float] = {}  # Unix time of the last start, by server id
         self.shutting_down = False  # new requests are rejected on arrival
         self._request_count = 0
         self._events: deque[Event] = deque()
@@ -147,7 +147,7 @@
         self.in_flight[request_id] = request
         request.deadline_timer = self.loop.call_at(deadline, self.close_request, request_id)
         if self.shutting_down:
-            self._reject(request_id, 0.0)  # no Retry-After: another gateway can serve it at once
+            self._reject(request_id, 0.0)  # no retry-after: another gateway can serve it at once
             return request
         self.post_event(
             Request(
@@ -163,14 +163,14 @@
         return request
 
     def cancel_request(self, request: InFlightRequest) -> None:
-        """Drop a request whose client has disconnected; an attempt that is not written yet is cancelled."""
+        """Drop a request whose client has disconnected; cancel its attempt if nothing is written yet."""
         if self._remove_request(request):
             self.post_event(ClientDisconnected(request.policy_request_id))
             if request.attempt is not None and not request.attempt.may_have_run:
                 request.attempt.cancel()
 
     def close_request(self, request_id: str) -> None:
-        """Answer a request without the policy, at its deadline or after a failure.
+        """Answer a request without the policy, at its deadline, after a failure or at shutdown.
 
         Its attempt is cancelled, and the policy gets a `ClientDisconnected`.
         """
@@ -221,7 +221,7 @@
             yield
 
     def _apply_endpoint_update(self, update: EndpointUpdate, addresses: dict[str, Address]) -> None:
-        """Update the pools before the policy: its attempts must not reach a server that is removed here."""
+        """Update the pools, then notify the policy: its attempts must not reach a server that is removed."""
         for endpoint in update.endpoints:
             self._apply_endpoint(endpoint, addresses)
         if update.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED_SNAPSHOT):
--- a/quota_gateway/network/client_connection.py
+++ b/quota_gateway/network/client_connection.py
@@ -34,14 +34,14 @@
 
 MAX_PENDING_REPLIES = 64  # limit per connection; further commands stay in the buffer
 MAX_COMMANDS_PER_ITERATION = 16  # bounds the time that other connections wait for the event loop
-MAX_COMMAND_ERRORS = 8  # limit per connection: invalid commands take processing time from other clients
+MAX_COMMAND_ERRORS = 8  # then the connection closes: invalid commands take processing time from other clients
 FIRST_COMMAND_TIMEOUT_S = 2.0  # time that a new connection may stay silent
 PARTIAL_COMMAND_TIMEOUT_S = 2.0  # time between the beginning and the end of a command
 UNREAD_REPLIES_TIMEOUT_S = 30.0  # time for which a client may leave its replies unread
 LINGER_TIMEOUT_S = 0.5  # time for the client to read an error and close; its input is discarded
 MAX_DISCARDED_BYTES = 4 * 1024 * 1024  # limit on discarded input, beyond which the connection is aborted
 WRITE_BUFFER_BYTES = 256 * 1024  # unread replies beyond this size stop the processing of commands
-READ_BUFFER_BYTES = 64 * 1024  # size of the unprocessed commands at which reading pauses
+READ_BUFFER_BYTES = 64 * 1024  # reading pauses at this many buffered bytes while commands can't be processed
 
 
 class ConnectionState(Enum):
@@ -50,7 +50,7 @@
     OPEN = auto()  # commands are processed
     CLOSING = auto()  # commands are no longer processed; pending replies are still sent
     CLOSING_AFTER_ERROR = auto()  # no more commands; the client gets time to read the final error
-    HALF_CLOSED = auto()  # all replies are written, our side is closed; the client's close is awaited
+    HALF_CLOSED = auto()  # replies are written; closing, or after an error waiting for the client to close
     CLOSED = auto()  # the transport is closed
 
 
@@ -114,7 +114,7 @@
         self.processing = Processing.NONE
         self.write_buffer_full = False  # set while the client does not read its replies
         self.reading_paused = False
-        # State of timeouts and limits, in event loop time.
+        # State of the timeouts (in event loop time) and of the limits.
         self.has_sent_command = False
         self.last_activity = 0.0
         self.partial_command_since: float | None = None
@@ -126,7 +126,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Set up a new connection."""
-        self.transport = transport  # type: ignore[assignment]  # a TCP transport reads and writes
+        self.transport = transport  # type: ignore[assignment]  # always an asyncio.Transport
         assert self.transport is not None
         self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
         self.last_activity = self.owner.loop.time()
@@ -200,7 +200,7 @@
         self.flush()
 
     def _can_process(self) -> bool:
-        """Tell whether state and flow control allow another command to be processed."""
+        """Return whether state and flow control allow another command to be processed."""
         return (
             self.state is ConnectionState.OPEN
             and not self.write_buffer_full
@@ -324,7 +324,7 @@
     # --- closing the connection --------------------------------------------------------------------------
 
     def is_idle(self) -> bool:
-        """Tell whether the connection is open and between requests."""
+        """Return whether the connection is open and between requests."""
         return (
             not self.pending_replies
             and self.state is ConnectionState.OPEN
--- a/quota_gateway/network/commands.py
+++ b/quota_gateway/network/commands.py
@@ -53,7 +53,7 @@
 class RequestLimits:
     """Limits on the units and the deadline of one request."""
 
-    max_units: float  # requests that ask for more are invalid
+    max_units: float  # requests that use more are invalid
     max_time_left_ms: float  # longer deadlines are shortened to this, so that no request is held for minutes
 
 
@@ -69,7 +69,7 @@
     units: float
     customer_gateways: int  # number of gateways through which the customer's requests come
     encoded_head: bytes  # array header, verb, customer id and request id
-    fields_around_time: tuple[bytes, bytes]  # the field list before and after the number of `d`
+    fields_around_time: tuple[bytes, bytes]  # the field list before and after the value of `d`
     encoded_body: bytes  # empty if the command has no body
 
     def encode(self, time_left_ms: int) -> bytes:
@@ -79,7 +79,7 @@
 
 
 class CommandParser:
-    """Validates request commands against the classes, plans and limits of the settings."""
+    """Parses request commands and validates them against the classes, plans and limits of the settings."""
 
     def __init__(self, settings: Settings, limits: RequestLimits) -> None:
         self.gateway_count = settings.gateway_count
@@ -88,7 +88,7 @@
         self.classes = {cls.name.encode(): (cls.name, cls.idempotency) for cls in settings.classes}
 
     def parse(self, words: list[bytes]) -> RequestCommand:
-        """Validate a command whose verb is one of `REQUEST_VERBS`. Raises `CommandError`."""
+        """Parse a command whose verb is one of `REQUEST_VERBS`; raises `CommandError` if it is invalid."""
         if not 4 <= len(words) <= 5:
             raise CommandError("wrong number of arguments")
         customer, request_id, field_list = words[1:4]
@@ -130,7 +130,7 @@
 
 
 def is_command(message: object) -> TypeGuard[list[bytes]]:
-    """Tell whether a message is a command: a non-empty array of bulk strings."""
+    """Return whether a message is a command: a non-empty array of bulk strings."""
     return isinstance(message, list) and bool(message) and all(type(word) is bytes for word in message)
 
 
@@ -156,7 +156,7 @@
 
 
 def _split_fields(field_list: bytes) -> tuple[dict[bytes, bytes], tuple[bytes, bytes]]:
-    """Return the fields by name, and the text of the list before and after the number of field `d`."""
+    """Return the fields by name, and the text of the list before and after the value of field `d`."""
     if len(field_list) > MAX_FIELDS_BYTES:
         raise CommandError("bad fields")
     fields: dict[bytes, bytes] = {}
@@ -184,7 +184,10 @@
 
 
 def _decimal(fields: dict[bytes, bytes], name: bytes, maximum: float, default: bytes) -> float:
-    """Return a number from 0 to `maximum`; `float` alone accepts `nan`, `1_0`, `1e9` and white space."""
+    """Return a number from 0 to `maximum`, or `default` if the field is absent.
+
+    The pattern is stricter than `float`, which also accepts `nan`, `1_0`, `1e9` and white space.
+    """
     text = fields.get(name, default)
     if _DECIMAL.fullmatch(text) is None or float(text) > maximum:
         raise CommandError(f"bad number for {name.decode()}")
--- a/quota_gateway/network/config.py
+++ b/quota_gateway/network/config.py
@@ -24,7 +24,7 @@
 
 DEFAULT_NAME = "gateway"
 DEFAULT_MAX_SOCKETS = 1024
-MIN_SOCKETS = 64  # with fewer, the reserved descriptors leave none for clients and servers
+MIN_SOCKETS = 64  # with fewer, the reserved descriptors leave too few for clients and servers
 
 T = TypeVar("T")
 
--- a/quota_gateway/network/counter_client.py
+++ b/quota_gateway/network/counter_client.py
@@ -57,7 +57,7 @@
             self._abandon_draining_calls(key)
         call = PendingCall(now, key, on_complete)
         if not connection.is_ready():
-            call.complete(now, CallOutcome.UNREACHABLE)  # no call was written, so none can have been counted
+            call.complete(now, CallOutcome.UNREACHABLE)  # not written, so it can't have been counted
             return
         call.timeout_timer = self._loop.call_later(self.timeout_s, connection.time_out, call)
         connection.send(_encode_increment(key, amount, ttl_ms), call)
--- a/quota_gateway/network/counter_connection.py
+++ b/quota_gateway/network/counter_connection.py
@@ -17,7 +17,7 @@
 from quota_gateway.policy_api.events import CallOutcome
 
 CONNECT_TIMEOUT_S = 0.5
-# The counter closes connections that have been idle for about 10 s or less.
+# The idle timeout of the counter is about 10 s or less.
 HEARTBEAT_INTERVAL_S = 3.0
 HEARTBEAT_CHECK_INTERVAL_S = 0.5
 SILENCE_TIMEOUT_S = 1.5  # a peer that takes longer to reply counts as lost; the gateway reconnects
@@ -144,9 +144,11 @@
         """Schedule an attempt to connect, unless one is already scheduled.
 
         The attempt follows at once if the last connection has received a reply, otherwise after exponential
-        backoff. An attempt that times out just as the connection is made is reported both as a lost
-        connection and as a failed attempt. Two attempts would then open two connections and mix up their
-        replies.
+        backoff.
+
+        An attempt that times out just as the connection is made is reported twice: as a lost connection and
+        as a failed attempt. If both scheduled an attempt, there would be two connections, and their replies
+        would be mixed up.
         """
         if self._reconnect_handle is not None:
             return
@@ -174,7 +176,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport and send a heartbeat; abort if drained or closed in the meantime."""
-        self._transport = transport  # type: ignore[assignment]  # always a stream transport
+        self._transport = transport  # type: ignore[assignment]  # always an asyncio.Transport
         if self.state in _STATES_WITHOUT_RECONNECT:
             self._abort()
             return
@@ -193,8 +195,11 @@
         if self.state is ConnectionState.DRAINING and not self.pending_calls:
             self.close()
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # the signature of asyncio.Protocol
-        """Complete the pending calls as timed out, since they may have been counted, and reconnect."""
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # asyncio.Protocol sets the signature
+        """Complete the pending calls as timed out, since they may have been counted.
+
+        The connection is opened again unless it was drained or closed.
+        """
         self._transport = None
         calls, self.pending_calls = self.pending_calls, deque()
         if self.state in _STATES_WITHOUT_RECONNECT:
--- a/quota_gateway/network/descriptors.py
+++ b/quota_gateway/network/descriptors.py
@@ -28,7 +28,7 @@
 
     servers: int
     clients: int
-    spare_clients: int  # connections beyond `clients`, accepted only to send an error and close
+    refused_clients: int  # connections beyond `clients`, accepted only to send an error and close
 
 
 def allocate_descriptors(max_sockets: int) -> DescriptorBudget:
@@ -39,6 +39,6 @@
     """
     available = max_sockets - RESERVED_DESCRIPTORS
     servers = min(max_sockets * 3 // 10, available * 3 // 8)
-    spare_clients = min(MAX_REFUSED_CONNECTIONS, available // 6)
-    clients = min(max_sockets // 2, available - servers - spare_clients)
-    return DescriptorBudget(servers, clients, spare_clients)
+    refused_clients = min(MAX_REFUSED_CONNECTIONS, available // 6)
+    clients = min(max_sockets // 2, available - servers - refused_clients)
+    return DescriptorBudget(servers, clients, refused_clients)
--- a/quota_gateway/network/discovery/http_connection.py
+++ b/quota_gateway/network/discovery/http_connection.py
@@ -29,9 +29,9 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport; abort it if `abort` was called before the connection was made."""
-        self._transport = transport  # type: ignore[assignment]  # always a stream transport
+        self._transport = transport  # type: ignore[assignment]  # always an asyncio.Transport
         if self._aborted:
-            transport.abort()  # type: ignore[attr-defined]  # always a stream transport
+            transport.abort()  # type: ignore[attr-defined]  # always an asyncio.Transport
 
     def get(self, host: str, target: str) -> None:
         """Send a GET request; allowed only while `is_idle()` is true."""
@@ -61,7 +61,7 @@
         """Complete a response body that has no length and ends with the connection."""
         self._receive(b"")
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # the signature of asyncio.Protocol
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # asyncio.Protocol sets the signature
         """Call `on_closed`."""
         self._transport = None
         self._on_closed()
--- a/quota_gateway/network/discovery/poll_schedule.py
+++ b/quota_gateway/network/discovery/poll_schedule.py
@@ -2,7 +2,8 @@
 
 The gateway counts as notified of a change `NOTIFICATION_DEADLINE_S` after discovery has the change and is
 reachable, even if all polls since then have failed. The schedule therefore keeps one deadline, counted from
-the last readable response, and bounds the timeouts and delays of all polls by the time left until it.
+the last readable response. The time left until it limits the timeouts of an agent's polls, and the delay of
+the next poll after a rejection by a shared service.
 
 Discovery is either an agent on the gateway's machine or a service shared by all gateways. An agent answers at
 once and at no cost, so failed polls are repeated at a steady rate. For a shared service each list entry that
@@ -28,7 +29,7 @@
 LONG_POLL_S = 4.0
 # Shorter wait in the first poll and in a poll after a failure, so that its response soon confirms the list.
 FIRST_LONG_POLL_S = 0.1
-# Time allowed for the response after the wait has ended; an agent that takes longer has gone silent.
+# Time allowed for the response after the wait has ended; after that, discovery counts as silent.
 RESPONSE_GRACE_S = 1.0
 # Part of the time until the deadline that is reserved for the response to a poll.
 RESPONSE_RESERVE_S = 0.5
@@ -62,12 +63,13 @@
 class Freshness(Enum):
     """How reliable the endpoint list in use is.
 
-    A readable response makes the list CURRENT. A failed poll makes it UNCONFIRMED, or STALE if the deadline
-    has passed. A STALE list stays so until the next readable response.
+    A readable response makes the list CURRENT. A change of discovery's address or a failed poll makes it
+    UNCONFIRMED; a poll that fails after the deadline makes it STALE. A STALE list stays so until the next
+    readable response.
     """
 
     CURRENT = "current"  # the last poll got a readable response
-    UNCONFIRMED = "unconfirmed"  # no response so far, or the last poll failed
+    UNCONFIRMED = "unconfirmed"  # no response from this address so far, or the last poll failed
     STALE = "stale"  # a poll failed after the deadline
 
 
@@ -130,9 +132,11 @@
     def response_timeout_s(self) -> float:
         """Return how long to wait for the response to the next poll.
 
-        After a failed poll of an agent the timeout is limited to the time left until the deadline. A shared
-        service queues its responses: it would still work on a poll that was given up, and get the same poll
-        again. Its timeout is therefore always the full one.
+        While the list is not current, the timeout for an agent is the time left until the deadline, but not
+        less than a poll with the shorter wait may take, nor more than one with the full wait.
+
+        A shared service queues its responses: it would still work on a poll that was given up, and receive
+        the same poll again. The timeout for it is therefore always that of the full wait.
         """
         if self.freshness is Freshness.CURRENT or self._sharing_gateways:
             return LONG_POLL_S + RESPONSE_GRACE_S
@@ -175,5 +179,5 @@
         return self._phase * spread_s
 
     def _format_age_s(self) -> str:
-        """Return the seconds since the list was last confirmed, formatted for a log field."""
+        """Return the seconds since the list was last confirmed, with one decimal place, for a log field."""
         return f"{NOTIFICATION_DEADLINE_S - self.remaining_s():.1f}"
--- a/quota_gateway/network/discovery/watch.py
+++ b/quota_gateway/network/discovery/watch.py
@@ -1,9 +1,10 @@
 """The watch on discovery's endpoint list: long polls over one HTTP connection while the process runs.
 
-A watch continues only while each poll follows the previous response at once. After a response timeout or a
-rejection the watch is restarted from the version held, on a new connection. A snapshot is requested only if
-no version is held or a response could not be parsed: each list entry that a shared discovery service sends
-costs it work, and if all gateways kept requesting snapshots it would be too busy to answer any of them.
+A watch continues only while each poll follows the previous response at once. After a response timeout, a
+rejection or a lost connection the watch is restarted from the version held, on a new connection. A snapshot
+is requested only if no version is held or a response contained no usable list: each list entry that a shared
+discovery service sends costs it work, and if all gateways kept requesting snapshots it would be too busy to
+answer any of them.
 """
 
 from __future__ import annotations
--- a/quota_gateway/network/in_flight_request.py
+++ b/quota_gateway/network/in_flight_request.py
@@ -46,12 +46,12 @@
         self.deadline_timer: asyncio.TimerHandle | None = None
 
     def may_have_run(self) -> bool:
-        """Tell whether a server may have run the request or may still run it."""
+        """Return whether a server may have run the request or may still run it."""
         if self.completed_attempt_may_have_run:
             return True
         return self.attempt is not None and self.attempt.may_have_run
 
     def attempt_timeout_s(self, now: float, timeout_ms: float) -> float:
-        """Return the timeout of an attempt that starts now; a `timeout_ms` of 0 leaves only the deadline."""
+        """Return the timeout of an attempt that starts at `now`; a `timeout_ms` of 0 sets no limit."""
         time_left_s = self.deadline - RESPONSE_MARGIN_S - now
         return min(time_left_s, timeout_ms / 1000.0) if timeout_ms > 0 else time_left_s
--- a/quota_gateway/network/load_report.py
+++ b/quota_gateway/network/load_report.py
@@ -30,7 +30,7 @@
 
 
 def is_load_report(word: str) -> bool:
-    """Tell whether the last word of an error is a load report rather than part of the error's text."""
+    """Return whether the last word of an error is a load report rather than part of the error's text."""
     return _REPORT.fullmatch(word) is not None
 
 
--- a/quota_gateway/network/log_setup.py
+++ b/quota_gateway/network/log_setup.py
@@ -57,7 +57,7 @@
 
 
 class LogRateLimit(logging.Filter):
-    """Drops all records of a second after the first `MAX_LINES_PER_SECOND`."""
+    """Passes at most `MAX_LINES_PER_SECOND` records in each second and drops the rest."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/quota_gateway/network/process.py
+++ b/quota_gateway/network/process.py
@@ -47,7 +47,8 @@
 class GatewayProcess:
     """The components of one gateway, and their lifecycle.
 
-    `policy` replaces the gateway's own policy in tests. `environ` names the file that a reload reads again.
+    `policy` replaces the gateway's own policy in tests. `environ` holds the environment variables, which a
+    reload uses again.
     """
 
     def __init__(
@@ -72,7 +73,7 @@
             self.bridge,
             CommandParser(settings, request_limits),
             max_connections=descriptors.clients,
-            max_refused=descriptors.spare_clients,
+            max_refused=descriptors.refused_clients,
         )
         self.endpoint_watch = self._make_endpoint_watch()
         self.stop_requested = asyncio.Event()
--- a/quota_gateway/network/resp.py
+++ b/quota_gateway/network/resp.py
@@ -102,7 +102,7 @@
 def _message_end(buffer: bytes, position: int, depth: int = 0) -> int:
     """Return the index after the message at `position`, or 0 if it is incomplete.
 
-    `depth` is the number of arrays that enclose the message.
+    `depth` is the number of arrays that enclose the message. Arrays must not hold statuses or errors.
     """
     if position >= len(buffer):
         return 0
--- a/quota_gateway/network/server_connection.py
+++ b/quota_gateway/network/server_connection.py
@@ -62,7 +62,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Add the connection to the pool."""
-        self.transport = transport  # type: ignore[assignment]  # a TCP transport reads and writes
+        self.transport = transport  # type: ignore[assignment]  # always an asyncio.Transport
         self.pool.add(self)
 
     def data_received(self, data: bytes) -> None:
@@ -84,7 +84,10 @@
         self._complete_attempt(attempt, classify_response(response))
 
     def _complete_attempt(self, attempt: ResponseReceiver, result: AttemptResult) -> None:
-        """Complete the attempt with its response, and return the connection to the pool or close it."""
+        """Complete the attempt with its response, and return the connection to the pool or close it.
+
+        An error response followed by surplus bytes counts as malformed.
+        """
         reusable = result.connection_reusable and not self.parser.buffered_bytes()
         if not reusable and result.outcome is not CallOutcome.OK:
             self._fail_malformed()
--- a/quota_gateway/network/server_pool.py
+++ b/quota_gateway/network/server_pool.py
@@ -13,10 +13,10 @@
 from quota_gateway.network.server_connection import ServerConnection
 from quota_gateway.network.socket_poll import has_unread_bytes
 
-DRAIN_MARGIN_S = 0.05  # writes end this long before the drain grace does, so that none arrives after it
+DRAIN_MARGIN_S = 0.05  # writes end this long before the drain grace period, so that none arrives after it
 IDLE_MARGIN_S = 2.0  # idle connections are closed this long before the server's idle timeout
 EXPIRY_INTERVAL_S = 1.0  # time between two searches for connections past the idle limit
-MIN_REUSE_DELAY_S = 0.03  # least time between a response and the next request: see `acquire`
+MIN_REUSE_DELAY_S = 0.03  # least idle time before a connection carries another request: see `acquire`
 
 
 def idle_limit_s(server_idle_timeout_s: float) -> float:
@@ -48,7 +48,7 @@
         self.write_deadline: float | None = None
 
     def writable(self) -> bool:
-        """Tell whether requests may be written to the server."""
+        """Return whether requests may be written to the server."""
         return self.write_deadline is None or self.owner.loop.time() <= self.write_deadline
 
     def acquire(self) -> ServerConnection | None:
@@ -61,6 +61,8 @@
         - those whose last response is more recent than `MIN_REUSE_DELAY_S`, on which surplus bytes or the end
           of the stream may still arrive;
         - those with input in the kernel that the event loop has not read yet.
+
+        Those of the second kind stay idle, the others are closed.
         """
         now = self.owner.loop.time()
         for index in range(len(self.idle) - 1, -1, -1):
@@ -169,7 +171,7 @@
         return self.connecting + sum(len(pool.connections) for pool in pools)
 
     def make_room_for_connection(self) -> bool:
-        """Tell whether a connection may be opened; at the limit, close the longest idle connection first."""
+        """Return whether a connection may be opened; at the limit, close the longest idle one first."""
         if self.socket_count() < self.limits.max_connections:
             return True
         pools = [pool for pool in self.pools.values() if pool.idle]
--- a/quota_gateway/network/socket_poll.py
+++ b/quota_gateway/network/socket_poll.py
@@ -11,12 +11,12 @@
 
 
 def has_unread_bytes(transport: asyncio.Transport) -> bool:
-    """Tell whether data or the peer's end of stream waits in the kernel; False for a closing transport."""
+    """Return whether data or the peer's end of stream waits in the kernel; False for a closing transport."""
     return _poll_now(transport, select.POLLIN)
 
 
 def peer_closed(transport: asyncio.Transport) -> bool:
-    """Tell whether the peer has closed its side, even if unread data precedes the end of the stream.
+    """Return whether the peer has closed its side, even if unread data precedes the end of the stream.
 
     Returns False for a closing transport.
     """
--- a/tests/network/test_descriptors.py
+++ b/tests/network/test_descriptors.py
@@ -138,6 +138,6 @@
     assert descriptors.servers >= 4
     assert descriptors.clients >= 4
     assert (
-        RESERVED_DESCRIPTORS + descriptors.servers + descriptors.clients + descriptors.spare_clients
+        RESERVED_DESCRIPTORS + descriptors.servers + descriptors.clients + descriptors.refused_clients
         <= sockets
     )
