--- a/tests/network/scripted_peers.py
+++ b/tests/network/scripted_peers.py
@@ -106,7 +106,7 @@
 
 
 class ScriptedDiscovery(ScriptedPeer):
-    """A discovery server that sends `responses` in order; a request waits until its response is appended.
+    """A discovery server that sends `responses` in order; a request without one waits until it is appended.
 
     `targets` lists the path and query of each request, `request_times` its arrival in event loop time.
     """
--- a/tests/network/simulated_discovery.py
+++ b/tests/network/simulated_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery on a simulated clock that ends polls with scripted outcomes, and the real watch on it."""
+"""A simulated discovery, whose polls end with scripted outcomes, and the real watch on a simulated clock."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.serial_numbers = itertools.count()  # order of calls scheduled for the same time
+        self.serial_numbers = itertools.count()  # keeps the order of calls scheduled for the same time
         self.heap: list[tuple[float, int, ScheduledCall]] = []
 
     def time(self) -> float:
@@ -99,7 +99,7 @@
 
 
 class SimulatedDiscovery:
-    """A discovery with scripted outcomes of polls; records the times of polls and of confirmed lists.
+    """A discovery whose polls end with scripted outcomes; records the times of polls and of good responses.
 
     `outcomes` holds the outcomes of the first polls in order; all later polls end with "good".
     """
--- a/tests/network/test_client_connection.py
+++ b/tests/network/test_client_connection.py
@@ -23,7 +23,7 @@
 REQUEST_ID = b"9b1f03aa5c7e2d41"
 
 
-def test_a_client_with_many_errors_gets_each_and_is_closed() -> None:
+def test_each_error_up_to_the_limit_gets_a_reply_before_the_connection_is_closed() -> None:
     async def scenario() -> None:
         async with running_gateway(always_reply(OK_RESPONSE), policy=forwarding_policy()) as gateway:
             client = await gateway.connect_client()
--- a/tests/network/test_client_disconnect.py
+++ b/tests/network/test_client_disconnect.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect while their requests wait: requests not yet written are not sent any more.
+"""Clients that disconnect while their requests wait: requests that are not written yet are never sent.
 
 Each race is forced: a peer withholds what the request waits for until the client has disconnected.
 """
--- a/tests/network/test_counter_connection.py
+++ b/tests/network/test_counter_connection.py
@@ -18,7 +18,7 @@
     return connection.state
 
 
-def test_a_connection_is_drained_once_its_last_pending_call_has_a_reply() -> None:
+def test_a_draining_connection_is_closed_once_its_last_pending_call_has_a_reply() -> None:
     async def scenario() -> None:
         release = asyncio.Event()
 
@@ -50,7 +50,7 @@
 
 
 def test_a_connection_that_times_out_as_it_is_made_is_opened_again_only_once() -> None:
-    """Both the loss and the failed attempt are reported; replies of two connections would be mixed up."""
+    """Both the loss and the failed attempt are reported; two connections would mix up their replies."""
 
     async def scenario() -> None:
         peer = ScriptedRespServer(always_reply(b"+PONG\r\n"))
--- a/tests/network/test_descriptors.py
+++ b/tests/network/test_descriptors.py
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("sockets", [64, 128, 256])
-def test_discovery_counter_and_servers_get_theirs_when_idle_clients_fill_the_rest(
+def test_discovery_counter_and_servers_get_connections_while_idle_clients_hold_theirs(
     tmp_path: Path, sockets: int
 ) -> None:
     """Discovery and the counter start, and the server gets requests, while idle clients hold their limit."""
@@ -113,7 +113,7 @@
             await wait_until(lambda: idle_clients.accepted > sockets and idle_clients.closed > sockets // 2)
             await peers.start_discovery()
             client = await RespClient.connect(peers.listen_port)
-            # With more concurrent requests than 24, the policy would detect a surge and reject some.
+            # With more than 24 concurrent requests, the policy would detect a surge and reject some.
             request_count = min(allocate_descriptors(sockets).servers, 24)
             for number in range(request_count):
                 client.send(b"CALL.GET", CUSTOMER, b"%d" % number, READ_FIELDS)
--- a/tests/network/test_discovery_watch.py
+++ b/tests/network/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery: targets and times of its polls, and that the list is current by the deadline."""
+"""The watch on discovery: the targets and times of its polls, and a current list by the deadline."""
 
 from __future__ import annotations
 
@@ -36,7 +36,10 @@
 
 
 class FrozenLoop:
-    """An event loop whose clock stands still; records the delays of the scheduled calls."""
+    """An event loop whose clock stands still; records the delays of the scheduled calls.
+
+    It also stands in for the timer handles that it returns.
+    """
 
     def __init__(self) -> None:
         self.delays: list[float] = []
@@ -197,7 +200,7 @@
                 await wait_until(lambda: gateway.process.endpoint_watch.connection.status == 200)  # type: ignore[union-attr]
                 discovery.writers[-1].transport.abort()
             await wait_until(lambda: gateway.server_pools.pools["s9"].write_deadline is not None)
-            # The interval between the two polls covers a watch and the pause after it.
+            # The interval between these polls covers the wait for the bad response and the delay after it.
             assert discovery.request_times[2] - discovery.request_times[1] < 2 * DRAIN_GRACE_S
 
     run_scenario(scenario())
