--- a/quota_gateway/network/process.py
+++ b/quota_gateway/network/process.py
@@ -129,8 +129,8 @@
     def reload(self) -> None:
         """Read the configuration again and apply its addresses of discovery and the counter.
 
-        Any other change takes effect only after a restart, and a warning is logged. If the new configuration
-        can't be used, the error is logged and the current configuration stays in force.
+        Any other change takes effect only after a restart; a warning is logged if `_needs_restart` finds one.
+        If the new configuration can't be used, the error is logged and the current one stays in force.
         """
         try:
             config = load_config(self.environ)
@@ -152,7 +152,8 @@
     def _needs_restart(self, config: GatewayConfig) -> bool:
         """Return whether the new configuration has changes that a reload doesn't apply.
 
-        Changes of the cached endpoints and of the seed are ignored.
+        Changes of the cached endpoints and of the seed are ignored, and so is a counter address that is added
+        or removed.
         """
         with_current_addresses = replace(
             config,
