--- a/quota_gateway/network/process.py
+++ b/quota_gateway/network/process.py
@@ -47,7 +47,8 @@
 class GatewayProcess:
     """The components of one gateway, and their lifecycle.
 
-    `policy` replaces the gateway's own policy in tests. `environ` names the file that a reload reads again.
+    `policy` replaces the gateway's own policy in tests. `environ` holds the environment variables, which a
+    reload uses again.
     """
 
     def __init__(
@@ -72,7 +73,7 @@
             self.bridge,
             CommandParser(settings, request_limits),
             max_connections=descriptors.clients,
-            max_refused=descriptors.spare_clients,
+            max_refused=descriptors.refused_clients,
         )
         self.endpoint_watch = self._make_endpoint_watch()
         self.stop_requested = asyncio.Event()
@@ -128,8 +129,8 @@
     def reload(self) -> None:
         """Read the configuration again and apply its addresses of discovery and the counter.
 
-        Any other change takes effect only after a restart, and a warning is logged. If the new configuration
-        can't be used, the error is logged and the current configuration stays in force.
+        Any other change takes effect only after a restart; a warning is logged if `_needs_restart` finds one.
+        If the new configuration can't be used, the error is logged and the current one stays in force.
         """
         try:
             config = load_config(self.environ)
@@ -151,7 +152,8 @@
     def _needs_restart(self, config: GatewayConfig) -> bool:
         """Return whether the new configuration has changes that a reload doesn't apply.
 
-        Changes of the cached endpoints and of the seed are ignored.
+        Changes of the cached endpoints and of the seed are ignored, and so is a counter address that is added
+        or removed.
         """
         with_current_addresses = replace(
             config,
