--- a/quota_gateway/lab/simulation/counter.py
+++ b/quota_gateway/lab/simulation/counter.py
@@ -15,7 +15,7 @@
 MAX_TTL_MS = 60_000.0  # Longer TTLs are shortened to this.
 EXPIRY_SWEEP_MS = 10_000.0  # Interval at which expired keys are removed, which only frees memory.
 
-Reply = Callable[[CallOutcome, float], None]  # Receives the outcome and the key's total after the call.
+Reply = Callable[[CallOutcome, float], None]  # Called with the outcome and the key's total after the call.
 
 
 @dataclass(slots=True)
@@ -60,9 +60,9 @@
 
     Attributes:
         calls_per_s: capacity of one machine.
-        processing_ms: latency of a call in addition to its wait for execution, ms.
+        processing_ms: latency of a call in addition to queueing and execution, ms.
         max_queue_ms: queueing time above which a partition answers BUSY, ms.
-        silent: whether the counter is unavailable: it drops all calls.
+        silent: whether the counter is unavailable and drops all calls.
     """
 
     def __init__(
--- a/quota_gateway/lab/simulation/counter_calls.py
+++ b/quota_gateway/lab/simulation/counter_calls.py
@@ -14,7 +14,7 @@
 from quota_gateway.policy_api.actions import IncrementCounter
 from quota_gateway.policy_api.events import CallOutcome, CounterReply
 
-REPLY_BYTES = 16
+REPLY_BYTES = 16  # Size of a reply of the counter.
 
 
 @dataclass(slots=True, eq=False)
@@ -24,7 +24,7 @@
     Attributes:
         sent_at: time at which the call was sent, ms.
         incarnation: the gateway process that sent it; its reply is not delivered to a later one.
-        outcome: outcome of the call; None until the reply or the time-out.
+        outcome: outcome of the call; None until the reply or the timeout.
         total: total of the key after the call; 0 unless the outcome is OK.
     """
 
@@ -60,7 +60,7 @@
         return call
 
     def send(self, action: IncrementCounter) -> None:
-        """Send a call; it completes with the counter's reply or with a time-out."""
+        """Send a call; it completes with the counter's reply or with a timeout."""
         environment = self._environment
         host = self._host
         counter = environment.counter
@@ -78,7 +78,7 @@
             )
 
     def complete(self, call: PendingCall, outcome: CallOutcome, total: float) -> None:
-        """Record the reply or the time-out of a call, whichever comes first, and deliver what is ready."""
+        """Record the reply or timeout of a call, whichever comes first, and deliver the replies now ready."""
         if call.outcome is None and call.incarnation == self._host.incarnation and self._host.alive:
             call.outcome = outcome
             call.total = total
--- a/quota_gateway/lab/simulation/discovery.py
+++ b/quota_gateway/lab/simulation/discovery.py
@@ -14,7 +14,7 @@
 from quota_gateway.network.discovery.poll_schedule import FIRST_LONG_POLL_S, LONG_POLL_S
 from quota_gateway.policy_api.endpoints import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 
-RESPONSE_DELAY_MS = 0.5  # Time from the sending of an answer to its arrival at the gateway.
+RESPONSE_DELAY_MS = 0.5  # Time from the sending of a response to its arrival at the gateway.
 NEVER = float("inf")
 
 
@@ -25,7 +25,7 @@
         location: zone and region of the gateway.
         pool: index of the pool whose endpoint list is watched.
         version: version of the list that the gateway has; None if it has none.
-        responses: number of answers received since the start of the watch.
+        responses: number of responses received since the start of the watch.
     """
 
     location: Location
@@ -34,14 +34,14 @@
     responses: int
 
     def receive(self, call_id: int, update: EndpointUpdate, version: int | None) -> None:
-        """Process the answer to a call: the update that leads to a version of the list."""
+        """Process the response to a call: an update of the list, and the version that it leads to."""
 
     def receive_overloaded(self, call_id: int) -> None:
-        """Process a 503 in answer to a call."""
+        """Process a 503 response to a call."""
 
 
 class DiscoveryService:
-    """Answers calls in the order of their arrival. Each call and each endpoint in its answer costs work.
+    """Answers calls in the order of their arrival. Each call and each endpoint in its response costs work.
 
     A call of a watch that has the current version stays open until the list changes or the long poll expires.
 
@@ -71,7 +71,7 @@
         self._rng = random_stream(seed, "discovery")
         # Ids of the calls that are kept open, by pool and watch.
         self._parked: list[dict[Watcher, int]] = [{} for _ in range(pool_count)]
-        self._free_at = 0.0  # Time at which all queued answers will have been sent.
+        self._free_at = 0.0  # Time at which all queued responses will have been sent.
         self._down = False
         self._down_at = 0.0
         self._up_at = 0.0
@@ -79,7 +79,7 @@
         self._leave_known_at: dict[str, float] = {}
 
     def change(self, pool: int, endpoint: Endpoint) -> None:
-        """Report a change of a server; the service publishes it after the propagation delay."""
+        """Report a change of a server; the service learns of it and publishes it after a delay."""
         delay_ms = self._rng.uniform(*self.config.propagation_ms)
         self.scheduler.schedule_after(delay_ms, self.publish, pool, endpoint)
 
@@ -101,7 +101,8 @@
         """Return the time from which a gateway counts as notified that a server drains or is gone, ms.
 
         It is `notification_deadline_ms` after the service knew of the change, was up and could be reached
-        from the gateway's location; infinity while one of these conditions does not hold.
+        from the gateway's location; infinity while one of these conditions does not hold. An outage of the
+        service that begins after this time does not move it.
         """
         if not self.network.connected(location, self.location):
             return NEVER
@@ -120,7 +121,7 @@
         return known_at + notice_period_ms
 
     def call(self, watcher: Watcher, call_id: int) -> None:
-        """Accept a call: queue its answer, keep it open until the list changes, or reject it with a 503."""
+        """Accept a call: queue its response, keep it open until the list changes, or reject it with a 503."""
         if self._down or not self.network.connected(watcher.location, self.location):
             return
         self.metrics.count_message(Role.DISCOVERY, Message.CALLS, HTTP_REQUEST_BYTES)
@@ -140,7 +141,7 @@
         self._parked[watcher.pool].pop(watcher, None)
 
     def stop(self) -> None:
-        """Begin an outage: the service answers no calls, neither new nor open ones."""
+        """Begin an outage: the service responds to no calls, neither new nor open ones."""
         self._down = True
         self._down_at = self.scheduler.now
         for parked in self._parked:
@@ -159,13 +160,13 @@
         self.scheduler.schedule_at(self._free_at, self._respond, watcher, call_id)
 
     def _add_work(self, endpoints: int) -> None:
-        """Append the work of one answer, with this many endpoints, to the queue."""
+        """Add the work of one response with this many endpoints to the queue."""
         cost_ms = self.config.call_cost_ms + self.config.endpoint_cost_ms * endpoints
         self.busy_ms += cost_ms
         self._free_at = max(self.scheduler.now, self._free_at) + cost_ms
 
     def _respond(self, watcher: Watcher, call_id: int) -> None:
-        """Send an answer with the changes since the watch's version; it may be lost on the way."""
+        """Send a response with the changes since the watch's version; it may be lost on the way."""
         if self._down:
             return
         update = self._pending_update(watcher)
@@ -181,7 +182,7 @@
         self.scheduler.schedule_after(RESPONSE_DELAY_MS, watcher.receive, call_id, update, history.version)
 
     def _expire(self, watcher: Watcher, call_id: int) -> None:
-        """Send an empty answer to a call that is still open when its long poll expires."""
+        """Send an empty response to a call that is still open when its long poll expires."""
         if self._parked[watcher.pool].get(watcher) != call_id:
             return
         self.forget(watcher)
--- a/quota_gateway/lab/simulation/endpoint_notices.py
+++ b/quota_gateway/lab/simulation/endpoint_notices.py
@@ -17,7 +17,7 @@
         self._location = location
         # Time at which the gateway learned that a server drains or is gone, by server.
         self._leaving_since: dict[str, float] = {}
-        # Start time of the process, ms, for each server that was started during the run.
+        # Latest known start, ms, of each server that was started during the run.
         self._known_starts: dict[str, float] = {}
 
     def record(self, update: EndpointUpdate) -> None:
@@ -40,9 +40,10 @@
         return self._known_starts.get(server.name, 0.0) == server.started_ms
 
     def check_drain(self, server: Server) -> None:
-        """Count a rule violation if a new attempt goes to a draining server after its grace period.
+        """Count a rule violation if a new attempt goes to a draining or gone server after the grace period.
 
-        The grace period begins when the gateway is notified of the drain, or counts as notified.
+        The grace period begins when the gateway is notified or when it counts as notified, whichever comes
+        first.
         """
         environment = self._environment
         now = environment.scheduler.now
--- a/quota_gateway/lab/simulation/endpoint_watch.py
+++ b/quota_gateway/lab/simulation/endpoint_watch.py
@@ -1,7 +1,7 @@
 """Model of a gateway's watch on the endpoint list.
 
-Its time-outs, pauses and random delays are the constants of
-`quota_gateway.network.discovery.poll_schedule`, which the network code uses too.
+Its timeouts and delays are derived from the constants of `quota_gateway.network.discovery.poll_schedule`,
+which the network code uses too.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 from quota_gateway.policy_api.endpoints import EndpointUpdate, UpdateKind
 
 RECONNECT_JITTER = (0.5, 1.5)  # Range of the random factor on the delay before a new connection.
-# Share of the network code's pause after an empty answer that the simulated watch waits.
+# Pause of the simulated watch after an empty response, as a share of the network code's pause.
 EMPTY_RESPONSE_PAUSE_SHARE = 0.01
 
 
 class EndpointWatch:
-    """Keeps one call to discovery open: each answer is followed by the next call.
+    """Keeps one call to discovery open: each response is followed by the next call.
 
     Attributes:
         location: zone and region of the gateway.
         pool: index of the pool whose endpoint list is watched.
         version: version of the list that the gateway has; None if it has none.
-        responses: number of answers received since the last start.
+        responses: number of responses received since the last start.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self._gateway_count = gateway_count
         self._rng = random_stream(seed, "agent", index)
         self._on_update = on_update
-        self._call_id = 0  # Id of the current call; answers to earlier calls are ignored.
+        self._call_id = 0  # Id of the current call; responses to earlier calls are ignored.
 
     def start(self, version: int | None) -> None:
         """Start watching for changes after a version of the list; None requests a snapshot."""
@@ -71,10 +71,10 @@
         self._service.forget(self)
 
     def receive(self, call_id: int, update: EndpointUpdate, version: int | None) -> None:
-        """Process an answer and schedule the next call.
+        """Process a response and schedule the next call.
 
-        The answer has no endpoints if the list did not change before the long poll expired. The first answer
-        since the start is passed on even then, because it confirms that the cached list is current.
+        The response has no endpoints if the list did not change before the long poll expired. The first
+        response since the start is passed on even then, because it confirms that the cached list is current.
         """
         if call_id != self._call_id:
             return
@@ -89,7 +89,8 @@
     def receive_overloaded(self, call_id: int) -> None:
         """Process a 503: call again after a random delay.
 
-        The range of the delay is proportional to the number of gateways, which spreads their calls evenly.
+        The range of the delay is proportional to the number of gateways, up to `MAX_POLL_SPREAD_S`, so that
+        rejected gateways do not all call again at once.
         """
         if call_id == self._call_id:
             spread_s = min(MAX_POLL_SPREAD_S, self._gateway_count * POLL_SPACING_PER_GATEWAY_S)
--- a/quota_gateway/lab/simulation/wire_sizes.py
+++ b/quota_gateway/lab/simulation/wire_sizes.py
@@ -47,7 +47,7 @@
 
 
 def endpoint_list(endpoints: Iterable[Endpoint], version: int, full: bool) -> bytes:
-    """Return an answer of discovery: a snapshot of the endpoint list if `full`, else a delta."""
+    """Return a response of discovery: a snapshot of the endpoint list if `full`, else a delta."""
     rows = [_endpoint_row(endpoint) for endpoint in endpoints]
     return json.dumps({"version": version, "full": full, "servers": rows}, separators=(",", ":")).encode()
 
