--- a/quota_gateway/lab/simulation/arrivals.py
+++ b/quota_gateway/lab/simulation/arrivals.py
@@ -27,7 +27,7 @@
         at: time of the attempt, ms.
         tenant: index of the tenant in its pool.
         units: units of the request.
-        work: work at a server, as a multiple of a mean request's.
+        work: work at a server, as a multiple of the work of a mean request.
     """
 
     at: float
--- a/quota_gateway/lab/simulation/clients.py
+++ b/quota_gateway/lab/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Model of the clients: attempts through a load balancer to gateways, time-outs, disconnects and retries."""
+"""Model of the clients: attempts through a load balancer to gateways, timeouts, disconnects and retries."""
 
 from __future__ import annotations
 
@@ -21,12 +21,13 @@
 from quota_gateway.lab.simulation.scheduler import EventScheduler
 from quota_gateway.lab.simulation.wire_sizes import VALUE_BYTES, call_get
 
-CONNECTION_REFUSED_MS = 1.0  # Time until the refused connection to a dead gateway fails.
-ERROR_BYTES = 12  # Size of the replies `-BUSY MS` and `-ERR failed`.
+CONNECTION_REFUSED_MS = 1.0  # Time until a connection to a dead gateway is refused.
+ERROR_BYTES = 12  # Approximate size of the replies `-BUSY MS` and `-ERR failed`.
 CLIENT_VALUE_FRAMING_BYTES = 8  # Protocol overhead of a value that is sent to a client.
 
-# A tenant's weights move to others of its gateways once per `weight_shift_ms`. The tenant's `weight_seed`
-# sets the phase of these moves and, hashed with the number of the move, the gateway with the largest weight.
+# The load balancer distributes a tenant's attempts over its gateways with Zipf weights, and rotates these
+# every `weight_shift_ms`. The tenant's `weight_seed` sets the phase of the rotations and, hashed with the
+# number of the rotation, the gateway with the largest weight.
 WEIGHT_SHIFT_PHASE_MS = 9973
 SEED_HASH_MULTIPLIER = 2654435761
 PERIOD_HASH_MULTIPLIER = 40503
@@ -64,7 +65,7 @@
         self._rng = random_stream(seed, "clients")
         self._last_id = 0
         load = experiment.load
-        # Cumulative weights of a tenant's gateways by rank, for each number of gateways from 1 on.
+        # Cumulative weights by rank of a tenant's gateways; element i is for tenants with i + 1 gateways.
         self._cumulative_gateway_weights = [
             _cumulative_zipf(count, load.gateway_weight_exponent)
             for count in range(1, load.gateways_per_tenant[1] + 1)
@@ -148,7 +149,7 @@
     def _choose_gateway(self, pool: Pool, tenant: Tenant) -> ClientFacingGateway | None:
         """Return the gateway that the load balancer picks, None if the attempt does not reach one.
 
-        The tenant's gateways have uneven weights, which move to others of them from time to time. The load
+        The tenant's gateways have uneven weights, which are rotated among them from time to time. The load
         balancer skips gateways that are not ready, but it goes on picking one that has died until it notices
         the failure.
         """
@@ -175,7 +176,7 @@
             self._abandon(attempt)
 
     def _time_out(self, attempt: ClientAttempt) -> None:
-        """Abandon an attempt that got no answer within its deadline, and retry."""
+        """Abandon an attempt that got no answer by its deadline, and retry."""
         if not attempt.closed:
             self.metrics.service[ServiceCount.UNANSWERED] += 1
             self._abandon(attempt)
--- a/quota_gateway/lab/simulation/experiment.py
+++ b/quota_gateway/lab/simulation/experiment.py
@@ -1,8 +1,8 @@
 """The experiment file: the records that it is decoded into, with their defaults.
 
 A range is [low, high]; values are drawn from it with the seed of the run. The defaults describe the
-deployment of today. Comments give the figures of the capacity target, and the ranges that the operators'
-bench uses ("on the bench"), where they differ from the default. `experiment_validation` checks an experiment
+present deployment. Where they differ from the default, comments give the figures of the capacity target, and
+the ranges that the operators' test bench uses ("on the bench"). `experiment_validation` checks an experiment
 before it runs, and `experiment_keys` has the former names of the keys.
 """
 
@@ -62,14 +62,15 @@
 
 
 class ClientConfig(Table, frozen=True):
-    """Time-outs, retries and disconnects of clients."""
+    """Timeouts, retries and disconnects of clients."""
 
     max_retries: Annotated[int, Meta(ge=0, le=20)] = 3  # Largest number of retries of one request.
     retry_after_share: Share = 0.7  # Share of retries that honour a retry-after; only some clients do.
     backoff_ms: Range = (0.0, 400.0)  # Wait before all other retries; 0 means an immediate retry.
-    latency_objective_ms: PositiveFloat = 1000.0  # A later answer to a request earns no revenue.
+    # Objective for the time from the first attempt to the answer; a later answer earns no revenue.
+    latency_objective_ms: PositiveFloat = 1000.0
     deadline_ms: PositiveFloat = 2500.0  # Deadline of a request including all its retries.
-    timeout_share: tuple[Share, Share] = (0.5, 1.0)  # Time-out of one attempt, as a share of `deadline_ms`.
+    timeout_share: tuple[Share, Share] = (0.5, 1.0)  # Timeout of one attempt, as a share of `deadline_ms`.
     disconnect_share: Share = 0.02  # Share of attempts whose client does not wait for the answer.
     disconnect_after_ms: Range = (0.0, 500.0)  # Time after which it disconnects if there is no answer.
     failover_ms: Range = (1200.0, 3200.0)  # Time for which requests still go to a gateway that has died.
@@ -79,18 +80,18 @@
     """Properties of the servers, which are all of one kind."""
 
     cores: SmallInt = 2
-    queue_capacity: Annotated[int, Meta(ge=0, le=1_000_000)] = 32  # Requests that do not fit are rejected.
+    queue_capacity: Annotated[int, Meta(ge=0, le=1_000_000)] = 32  # Queued requests; more are rejected.
     service_time_ms: Range = (80.0, 140.0)  # Mean work of a request on one core of a warm server.
     service_time_variation: Exponent = 0.3  # Coefficient of variation of the work per unit.
     initial_capacity_share: Share = 0.17  # Capacity of a server at its start, as a share of a warm server's.
-    warm_up_ms: PositiveFloat = 18000.0  # Time from a server's start to its full capacity.
+    warm_up_ms: PositiveFloat = 18000.0  # Time from the beginning of the warm-up to full capacity.
     # Calls that a warming server bears in one overload window, as a multiple of what its capacity can serve.
     overload_factor: PositiveFloat = 3.0
     overload_window_ms: PositiveFloat = 3000.0  # Time for which calls to a warming server are counted.
     # Time after the notice of a drain in which gateways may still send attempts to the server.
     drain_grace_ms: NonNegativeFloat = 250.0
     drain_period_ms: NonNegativeFloat = 4000.0  # Time from draining to gone; 2 to 6 s on the bench.
-    startup_ms: Range = (1000.0, 3000.0)  # Time from the start of a server to its first request.
+    startup_ms: Range = (1000.0, 3000.0)  # Time until a new process accepts requests and begins its warm-up.
     error_share: Share = 0.0  # Ignored; experiment files of earlier versions may contain it.
     connect_timeout_ms: PositiveFloat = 250.0
     idle_timeout_ms: PositiveFloat = 15000.0  # Connections that are idle for this long are closed.
@@ -105,8 +106,8 @@
     machines: SmallInt = 1  # Machines in all regions; the keys of a region are spread over its machines.
     partitions: SmallInt = 2  # Partitions of one machine; 1 to 3 on the bench.
     calls_per_s: Range = (550.0, 740.0)  # Capacity of one machine.
-    processing_ms: Range = (0.66, 1.6)  # Latency of a call without network delay and queueing.
-    timeout_ms: PositiveFloat = 80.0  # Time-out of a call at the gateway.
+    processing_ms: Range = (0.66, 1.6)  # Latency of a call besides network delay, queueing and execution.
+    timeout_ms: PositiveFloat = 80.0  # Timeout of a call at the gateway.
     # Queueing time, as a multiple of `timeout_ms`, above which a partition answers BUSY.
     queue_limit_timeouts: Range = (0.4, 3.0)
     loss_share: Share = 0.0  # Share of calls that are lost.
@@ -117,12 +118,12 @@
 
     propagation_ms: Range = (500.0, 3000.0)  # Delay until the service learns of a change of a server.
     call_cost_ms: NonNegativeFloat = 0.2  # Work of the service for one call.
-    endpoint_cost_ms: NonNegativeFloat = 0.01  # Additional work for each endpoint in the answer.
+    endpoint_cost_ms: NonNegativeFloat = 0.01  # Additional work for each endpoint in the response.
     max_queue_ms: PositiveFloat = 2000.0  # Queueing time above which the service answers 503.
     # Number of changes that a delta can cover; a watch that is further behind gets a snapshot.
     history_limit: PositiveInt = 1000
-    loss_share: Share = 0.0  # Share of answers that are lost.
-    # Time after which a gateway counts as notified of a change, as in the protocol specification.
+    loss_share: Share = 0.0  # Share of responses that are lost.
+    # Time after which a gateway counts as notified of a change; set by the protocol specification.
     notification_deadline_ms: PositiveFloat = 6000.0
 
 
@@ -185,7 +186,8 @@
 
     kind: FaultKind
     at_s: NonNegativeFloat  # Start of the fault, as time since the start of the run.
-    duration_s: NonNegativeFloat = 0.0  # Server replacements and gateway restarts are spread over this time.
+    # Duration of the fault; server replacements and gateway restarts are spread over it.
+    duration_s: NonNegativeFloat = 0.0
     share: Share = 0.0  # Share of the servers, gateways or tenants that are affected.
     count: Annotated[int, Meta(ge=0)] = 0  # Number of those affected; if not 0, it overrides `share`.
     zone: str = ""  # zone_isolated: name of the zone ("z0", "z1", ...).
--- a/quota_gateway/lab/simulation/gateway_host.py
+++ b/quota_gateway/lab/simulation/gateway_host.py
@@ -1,4 +1,4 @@
-"""The interface of a simulated gateway to the components that carry out its policy's actions."""
+"""The interface that a simulated gateway offers to the components that carry out its policy's actions."""
 
 from __future__ import annotations
 
--- a/quota_gateway/lab/simulation/gateways.py
+++ b/quota_gateway/lab/simulation/gateways.py
@@ -45,9 +45,10 @@
             later one.
         policy: the policy of the running process; None while the gateway is down.
         pending: client attempts that await their answer, by request id.
-        known_version: version of the endpoint list that the next process starts with.
-        died_at: time at which the last process was killed; 0 if none was.
-        failure_noticed_at: time at which the load balancer notices that the process was killed.
+        known_version: version of the endpoint list that the running process started with; while the gateway
+            is down, that the next process starts with.
+        died_at: time at which a process was last killed; 0 if none was.
+        failure_noticed_at: time at which the load balancer notices that kill.
         started_at: time of the last restart.
         ready_at: time from which a restarted gateway accepts requests.
     """
@@ -69,7 +70,7 @@
         self.known_version = 0
         self._environment = environment
         self._rng = random_stream(environment.seed, "gateway", index)
-        self._last_event_ns = 0  # Processor time of the policy for the last event.
+        self._last_event_ns = 0  # Processor time of the policy for the latest event, ns.
         self.notices = EndpointNotices(environment, location)
         self.attempts = ServerAttempts(environment, self, self.notices, settings.max_attempts)
         self.counter_calls = CounterCalls(environment, self, settings.counter_timeout_ms)
@@ -115,7 +116,7 @@
         self.attempts.clear()
 
     def restart(self) -> None:
-        """Start the next process, which knows only the endpoint list that the last one had."""
+        """Start the next process, which knows only the endpoint list that the killed one had."""
         environment = self._environment
         self.notices.clear()
         endpoints = environment.discovery.histories[self.pool_number].at_version(self.known_version)
@@ -214,7 +215,7 @@
     # --- discovery ----------------------------------------------------------------------------------------
 
     def _receive_update(self, update: EndpointUpdate) -> None:
-        """Process an answer of discovery; the first one after a restart makes the gateway ready."""
+        """Process a response of discovery; the first one after a restart makes the gateway ready."""
         if not self.alive:
             return
         scheduler = self._environment.scheduler
--- a/quota_gateway/lab/simulation/records.py
+++ b/quota_gateway/lab/simulation/records.py
@@ -39,8 +39,8 @@
     """A customer, its demand and the true state of its quota.
 
     Attributes:
-        key: key that identifies the customer in requests.
-        first_gateway: index of the first of its gateways, modulo the number of gateways in the pool.
+        key: identifies the customer in requests.
+        first_gateway: index of the first of its gateways, to be taken modulo the gateways of the pool.
         gateway_count: number of its gateways, which are consecutive in the pool.
         weight_seed: determines which of its gateways gets the largest weight at which time.
         weight_shift_ms: interval at which the weights move to others of its gateways.
@@ -81,7 +81,7 @@
     """Tenants and gateways that share an endpoint list.
 
     Attributes:
-        cumulative_shares: cumulative shares of the tenants in the pool's demand, in the order of `tenants`.
+        cumulative_shares: cumulative shares of the pool's demand by tenant, in the order of `tenants`.
         demand_per_s: first attempts per second of all tenants together.
     """
 
@@ -102,7 +102,7 @@
     """A request of a client, which all its attempts share.
 
     Attributes:
-        work: work at a server, as a multiple of a mean request's.
+        work: work at a server, as a multiple of the work of a mean request.
         first_attempt_at: time of the first attempt, ms.
     """
 
@@ -128,7 +128,8 @@
         closed: whether it was answered or abandoned by the client.
         closed_at: time at which it was closed, ms.
         wait_recorded: whether its wait was recorded, at its first forwarding or its rejection.
-        waiting_ns: processor time of the policy for its `Request` event, if it was not decided at once.
+        waiting_ns: processor time of the policy for its `Request` event, ns; 0 until all actions for that
+            event are carried out.
     """
 
     request_id: str
--- a/quota_gateway/lab/simulation/server_attempts.py
+++ b/quota_gateway/lab/simulation/server_attempts.py
@@ -1,4 +1,4 @@
-"""A gateway's attempts at servers: connections, time-outs, responses and cancellation."""
+"""A gateway's attempts at servers: connections, timeouts, responses and cancellation."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 # Time that a gateway has to notice a client's disconnect; a later attempt for the client is a rule violation.
 DISCONNECT_NOTICE_MS = 100.0
 SERVER_VALUE_FRAMING_BYTES = 24  # Protocol overhead of a value that a server sends.
-NEVER_USED_AT_MS = -1e9  # Time of the last use of a connection that does not exist.
+NEVER_USED_AT_MS = -1e9  # Stands for the last use of a connection that was never opened.
 HANDSHAKE_FACTOR = 3.0  # A new connection needs a round trip before the request's one-way delay.
 
 
@@ -55,7 +55,7 @@
         client_attempt = self._host.pending.get(action.request_id)
         if client_attempt is None:
             self._environment.metrics.violations[RuleViolation.ATTEMPT_WITHOUT_REQUEST] += 1
-            self._complete_unsent(action, 0, final=True)
+            self._complete_unsent(action, 0, request_completed=True)
             return
         number = client_attempt.server_attempts
         client_attempt.server_attempts += 1
@@ -63,7 +63,7 @@
         if action.timeout_ms > 0:
             timeout_ms = min(timeout_ms, action.timeout_ms)
         if timeout_ms <= 0 or number >= self._max_attempts or client_attempt.current is not None:
-            self._complete_unsent(action, number, final=False)
+            self._complete_unsent(action, number, request_completed=False)
             return
         server = self._environment.servers.by_name[action.server_id]
         self._notices.check_drain(server)
@@ -81,9 +81,9 @@
         if attempt is not None and attempt.number == number:
             self._environment.scheduler.schedule_after(0.0, self._complete, attempt, CallOutcome.CANCELLED)
 
-    def _complete_unsent(self, action: StartAttempt, number: int, *, final: bool) -> None:
+    def _complete_unsent(self, action: StartAttempt, number: int, *, request_completed: bool) -> None:
         event = AttemptCompleted(
-            action.request_id, number, action.server_id, CallOutcome.NOT_SENT, 0.0, final
+            action.request_id, number, action.server_id, CallOutcome.NOT_SENT, 0.0, request_completed
         )
         self._environment.scheduler.schedule_after(0.0, self._host.post_to, self._host.incarnation, event)
 
@@ -132,7 +132,7 @@
             self._environment.quotas.record_forwarded(client_attempt)
 
     def _arrive(self, attempt: ServerAttempt) -> None:
-        """Pass the request to the server; a server that went down meanwhile resets the connection."""
+        """Deliver the request to the server; one that went down in the meantime resets the connection."""
         if attempt.in_flight and attempt.task is not None:
             if attempt.server.state is ServerState.DOWN:
                 self._return_response(attempt, self._host.incarnation, CallOutcome.RESET)
@@ -140,7 +140,7 @@
                 attempt.server.accept(attempt.task)
 
     def _return_response(self, attempt: ServerAttempt, incarnation: int, outcome: CallOutcome) -> None:
-        """Send a server's response to the gateway, unless its process was replaced meanwhile."""
+        """Send a server's response to the gateway, unless another process runs there by now."""
         network = self._environment.network
         delay = network.sample_delay(attempt.server.location, self._host.location)
         if delay is not None and incarnation == self._host.incarnation:
