--- a/quota_gateway/lab/simulation/experiment_keys.py
+++ b/quota_gateway/lab/simulation/experiment_keys.py
@@ -13,7 +13,7 @@
 
 from quota_gateway.lab.simulation.experiment import Experiment
 
-# Field by former name, for each table of the file. The name of the top level is "".
+# Present key by former key, for each table of the file. The name of the top level is "".
 FORMER_KEYS: dict[str, dict[str, str]] = {
     "": {"seconds": "duration_s"},
     "fleet": {"visible": "visible_servers"},
--- a/quota_gateway/lab/simulation/experiment_validation.py
+++ b/quota_gateway/lab/simulation/experiment_validation.py
@@ -1,4 +1,4 @@
-"""Checks of an experiment that types cannot express: sizes that fit together, faults that can be injected."""
+"""Checks of an experiment that types cannot express: consistent sizes, faults that can be injected."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 def estimated_memory(experiment: Experiment) -> dict[str, float]:
-    """Return the estimated memory of a run, bytes, by the key of the experiment that causes it."""
+    """Return the estimated memory of a run, bytes, by the key of the experiment that determines it."""
     fleet = experiment.fleet
     load = experiment.load
     gateway_bytes = experiment.visible_servers * ENDPOINT_RECORD_BYTES + GATEWAY_BYTES
--- a/quota_gateway/lab/simulation/fault_injection.py
+++ b/quota_gateway/lab/simulation/fault_injection.py
@@ -90,7 +90,7 @@
                     self._scheduler.schedule_after(delay_ms, self._replace_server, server, rng)
 
     def _lose_server(self, server: Server, state: ServerState, duration_ms: float, rng: Random) -> None:
-        """Stop a server, and schedule its restart; it has to warm up then."""
+        """Stop a server, and schedule its restart, after which it warms up."""
         servers = self._environment.servers
         servers.stop(server, state)
         startup_ms = rng.uniform(*server.config.startup_ms)
--- a/quota_gateway/lab/simulation/metrics.py
+++ b/quota_gateway/lab/simulation/metrics.py
@@ -56,7 +56,8 @@
 
     # Attempts to a draining server after the grace period that follows the gateway's notice of the drain.
     LATE_AFTER_DRAIN_NOTICE = "late_drains_told"
-    # Attempts to a draining server by a gateway without a notice that should have had one by then.
+    # Attempts to a draining server after the grace period that follows the deadline of the notice, by a
+    # gateway that got the notice late or not at all.
     LATE_AFTER_NOTICE_DEADLINE = "late_drains_deemed"
     HARD_LIMIT_EXCEEDED = "ceiling_overruns"
     ATTEMPT_AFTER_DISCONNECT = "sent_after_client_left"
@@ -74,7 +75,7 @@
 
 
 class Message(StrEnum):
-    """Kinds of messages, and of the work that they cause."""
+    """Kinds of messages, and other events that are counted like messages."""
 
     REQUESTS = "requests"
     ATTEMPTS = "attempts"
@@ -99,7 +100,7 @@
 
     def __init__(self) -> None:
         self._histogram = HdrHistogram(1, MAX_RECORDED_US, SIGNIFICANT_FIGURES)
-        # Buffers values, because a call of HdrHistogram for each value is slow.
+        # Values that are buffered, because a call of HdrHistogram for each value is slow.
         self._unflushed: Counter[int] = Counter()
 
     def record(self, microseconds: float) -> None:
@@ -194,15 +195,15 @@
         revenue: sums of units times price by `ServiceCount`.
         quota: counts by `QuotaCount`.
         violations: counts by `RuleViolation`.
-        messages: number of messages by `Role`, then by kind.
-        message_bytes: sizes of messages by `Role`, then by kind.
+        messages: number of messages by `Role`, then by `Message` or another kind.
+        message_bytes: total size of messages, bytes, by the same keys.
         attempt_outcomes: completed attempts of gateways at servers by `CallOutcome`.
         log_lines: log events of the policy by name and state, and injected faults.
         cold_failures: failures of servers from overload during their warm-up.
         peak_cold_load: largest ratio, over all warming servers, of the calls in a window to `overload_limit`.
         wait_us: time from the arrival of an attempt at a gateway to its first forwarding or its rejection.
         response_us: time from a request's first attempt to the answer that served it.
-        recovery_us: time from a gateway's restart to its first answer from discovery.
+        recovery_us: time from a gateway's restart to its first response from discovery.
     """
 
     service: Counter[str] = field(default_factory=Counter)
@@ -230,7 +231,7 @@
         return sum(self.message_bytes[role].values()) if role in self.message_bytes else 0
 
     def violation_counts(self) -> Counter[str]:
-        """Return the count of each kind of rule violation, including zero counts."""
+        """Return the counts of rule violations, lost requests and cold-server failures, zeros included."""
         counts: Counter[str] = Counter(dict.fromkeys(RuleViolation, 0))
         counts.update(self.violations)
         counts["requests_lost"] = self.service[ServiceCount.UNANSWERED]
--- a/quota_gateway/lab/simulation/quota_accounting.py
+++ b/quota_gateway/lab/simulation/quota_accounting.py
@@ -1,4 +1,7 @@
-"""Compares clients' attempts, forwarded and rejected, with the customers' true quotas."""
+"""Compares clients' attempts, forwarded and rejected, with the customers' true quotas.
+
+The true quota of a customer is one token bucket for its attempts at all gateways together.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,8 @@
     def record_forwarded(self, attempt: ClientAttempt) -> None:
         """Count an attempt that is forwarded for the first time, as within or over its customer's quota.
 
-        Its units are taken from the quota only if they fit into it, and from the hard limit in any case.
+        Its units are taken from the quota only if they fit into it, and from the hard limit in any case. An
+        attempt on a plan without a rate is within the quota.
         """
         tenant = attempt.request.tenant
         units = attempt.request.units
@@ -47,7 +51,7 @@
                 self._metrics.violations[RuleViolation.HARD_LIMIT_EXCEEDED] += 1
 
     def record_rejected(self, attempt: ClientAttempt) -> None:
-        """Count a rejection; it is unnecessary if half of the burst or more is unused and holds the units."""
+        """Count a rejection; it is unnecessary if at least half of the burst is unused and the units fit."""
         tenant = attempt.request.tenant
         tenant.refill(self._scheduler.now)
         self._metrics.quota[QuotaCount.REJECTED] += 1
--- a/quota_gateway/lab/simulation/run_tables.py
+++ b/quota_gateway/lab/simulation/run_tables.py
@@ -14,7 +14,7 @@
 
 
 def show_run(console: Console, result: dict[str, Any]) -> None:
-    """Print the result file content of a run with one seed."""
+    """Print the result of a run with one seed, given as the content of its result file."""
     simulated = result["simulated"]
     experiment = result["experiment"]
     run = f"{experiment['name']}: seed {result['seed']}, {experiment['seconds']:g} s simulated"
@@ -27,7 +27,7 @@
 
 
 def show_spread(console: Console, result: dict[str, Any]) -> None:
-    """Print the result file content of runs with several seeds."""
+    """Print the results of runs with several seeds, given as the content of their result file."""
     seeds = ", ".join(str(run["seed"]) for run in result["runs"])
     name = result["experiment"]["name"]
     machine = machine_line(result["machine"])
@@ -42,7 +42,7 @@
 def _message_rows(
     counts: dict[str, dict[str, int]], sizes: dict[str, dict[str, int]]
 ) -> list[tuple[str, str, str]]:
-    """Return the rows of the table of messages: kind, number and size in bytes."""
+    """Return the rows of the table of messages: role and kind, number, and size in bytes."""
     rows = []
     for role in sorted({*counts, *sizes}):
         role_counts = counts.get(role, {})
--- a/quota_gateway/lab/simulation/server_fleet.py
+++ b/quota_gateway/lab/simulation/server_fleet.py
@@ -55,13 +55,13 @@
         return [server for server in self.by_name.values() if server.state is ServerState.UP]
 
     def start_successor(self, server: Server) -> None:
-        """Start a new server, which has to warm up, at the location and in the pool of another one."""
+        """Start a new server, which then warms up, at the location and in the pool of another one."""
         successor = self._create(server.location, server.pool)
         successor.start()
         self._discovery.change(successor.pool, successor.endpoint())
 
     def restart(self, server: Server) -> None:
-        """Restart a server that was stopped; it has to warm up."""
+        """Restart a server that was stopped; it then warms up."""
         server.start()
         self._discovery.change(server.pool, server.endpoint())
 
--- a/quota_gateway/lab/simulation/servers.py
+++ b/quota_gateway/lab/simulation/servers.py
@@ -14,7 +14,7 @@
 from quota_gateway.policy_api.endpoints import Endpoint, EndpointState
 from quota_gateway.policy_api.events import CallOutcome
 
-REJECT_MS = 0.05  # Work for a rejected request; each request that reaches a server adds load.
+REJECT_MS = 0.05  # Core time of a rejected request; each request that reaches a server adds load.
 HANG_POLL_MS = 50.0  # Interval at which a hung server checks whether a request that is due may complete.
 
 
@@ -55,7 +55,7 @@
         started_ms: start of the process, simulated ms; 0 for a server that is warm from the beginning.
         running: requests that occupy a core, in order of their starts.
         completed: number of completed requests.
-        busy_ms: core time spent on requests so far, ms.
+        busy_ms: core time of all requests started or rejected so far, ms.
     """
 
     def __init__(
@@ -104,7 +104,7 @@
         return config.overload_factor * capacity * config.overload_window_ms / self.service_time_ms
 
     def accept(self, task: ServerTask) -> None:
-        """Start, queue or reject a request; it gets no response if the process is not running."""
+        """Start, queue or reject a request; it gets no response if the server is down or has vanished."""
         if self.state in (ServerState.DOWN, ServerState.VANISHED):
             return
         self.metrics.count_message(Role.SERVER, Message.REQUESTS)
@@ -152,13 +152,13 @@
             self._begin_queued()
 
     def start(self) -> None:
-        """Start a new process, which has to warm up."""
+        """Start a new process, which then warms up."""
         self.state = ServerState.UP
         self.started_ms = self.scheduler.now
         self._window.clear()
 
     def _fails_from_overload(self, task: ServerTask) -> bool:
-        """Record a call at a warming server; stop the server and return True if that exceeds its limit."""
+        """Record a call at a warming server; if it exceeds the limit, stop the server and return True."""
         now = self.scheduler.now
         window = self._window
         window.append((now, task.start_notified))
@@ -169,7 +169,7 @@
         self.metrics.peak_cold_load = max(self.metrics.peak_cold_load, len(window) / limit)
         if len(window) <= limit:
             return False
-        self.running[task] = None
+        self.running[task] = None  # This call is reset together with the others.
         notified = sum(caller_notified for _, caller_notified in window)
         self.metrics.cold_failures.append(ColdServerFailure(now, self.name, len(window), budget, notified))
         self.stop(ServerState.DOWN)
--- a/quota_gateway/lab/simulation/simulation.py
+++ b/quota_gateway/lab/simulation/simulation.py
@@ -84,7 +84,7 @@
         """Run the experiment to its end.
 
         Args:
-            progress: called from time to time with the completed share of the run, 0 to 1.
+            progress: called every `PROGRESS_INTERVAL_MS` with the completed share of the run, 0 to 1.
         """
         environment = self.environment
         duration_ms = 1000.0 * self.experiment.duration_s
--- a/quota_gateway/lab/simulation/tenants.py
+++ b/quota_gateway/lab/simulation/tenants.py
@@ -113,12 +113,12 @@
 
 
 def _ordinary_demands(experiment: Experiment, plan_tenants: PlanTenants) -> list[float]:
-    """Return the requests per second of each simulated tenant of a plan without spikes and heavy demand."""
+    """Return the requests/s of each simulated tenant of a plan, without spikes and before heavy demand."""
     load = experiment.load
     count = plan_tenants.tenant_count
     usage_share = plan_tenants.config.usage_share
-    # Demand of an ordinary tenant, relative to a load without heavy tenants and spikes. It is smaller, so
-    # that their demand fits into the total.
+    # Factor on the demand of ordinary tenants, relative to a load without heavy tenants and spikes. It keeps
+    # the total demand the same when heavy tenants and spikes add theirs.
     ordinary_share = (1.0 - excess_utilization(load) / load.quota_utilization) / max(
         1e-9, 1.0 - load.heavy_share
     )
--- a/tests/lab/simulation/test_clients.py
+++ b/tests/lab/simulation/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients' attempts, retries and spikes, and the answers of a whole simulated fleet."""
+"""Clients' attempts, retries and spikes, and the answers that a whole simulated fleet gives to them."""
 
 from __future__ import annotations
 
--- a/tests/lab/simulation/test_counter.py
+++ b/tests/lab/simulation/test_counter.py
@@ -49,7 +49,7 @@
     executed = [
         (round(at - start, 6), total) for at, outcome, total in harness.replies if outcome is CallOutcome.OK
     ]
-    # The queue limit is one time-out of 50 ms, which is five calls beside the one that is being executed.
+    # The queue limit is one timeout of 50 ms, which is five calls besides the one that is being executed.
     assert rejected_at == [start] * 4
     assert executed == [(11.0 + 10.0 * i, i + 1.0) for i in range(6)]
 
--- a/tests/lab/simulation/test_quota_accounting.py
+++ b/tests/lab/simulation/test_quota_accounting.py
@@ -8,7 +8,7 @@
 
 
 def test_an_attempt_uses_its_quota_when_first_forwarded_and_only_within_it() -> None:
-    """An attempt is within the quota if the token bucket holds its units; only then it takes them from it."""
+    """An attempt is within the quota if the token bucket holds its units; it takes them only in that case."""
     simulation = run_small_fleet(0.1)
     quotas = simulation.environment.quotas
     metrics = simulation.metrics
--- a/tests/lab/simulation/test_simulation.py
+++ b/tests/lab/simulation/test_simulation.py
@@ -52,7 +52,8 @@
         return simulation.scheduler.executed
 
     idle = events(10, 100, 0.01)
-    assert idle / 10 == pytest.approx(9 * 4.5, rel=0.25)  # Four ticks per second and the watch, for 9 s.
+    # Four ticks per second and the watch, for a run of 4 s and its tail of 5 s.
+    assert idle / 10 == pytest.approx(9 * 4.5, rel=0.25)
     assert events(20, 100, 0.01) / idle == pytest.approx(2.0, rel=0.1)
     assert events(10, 1000, 0.01) == pytest.approx(idle, rel=0.02)
     busy = events(10, 100, 100.0)
