--- a/quota_gateway/lab/simulation/clients.py
+++ b/quota_gateway/lab/simulation/clients.py
@@ -35,7 +35,7 @@
 
 
 class Answer(StrEnum):
-    """The answer to an attempt of a client; the values are keys of result files."""
+    """The answer to an attempt of a client; the values are those of `ServiceCount`."""
 
     SERVED = "served"
     REJECTED = "refused"
--- a/quota_gateway/lab/simulation/experiment.py
+++ b/quota_gateway/lab/simulation/experiment.py
@@ -14,7 +14,7 @@
 
 from quota_gateway.lab.toml_config import NonNegativeFloat, PositiveFloat, PositiveInt, Share, Table
 
-Exponent = Annotated[float, Meta(ge=0, le=10)]
+SmallFloat = Annotated[float, Meta(ge=0, le=10)]
 SmallInt = Annotated[int, Meta(ge=1, le=1000)]
 Seed = Annotated[int, Meta(ge=0, le=1 << 62)]
 Range = tuple[NonNegativeFloat, NonNegativeFloat]
@@ -30,20 +30,20 @@
     gateways: PositiveInt
     servers: PositiveInt
     visible_servers: PositiveInt | None = None  # Servers in the endpoint list of one gateway; None: all.
-    regions: SmallInt = 1  # One site today; the capacity target is 6.
-    zones: SmallInt = 1  # Zones in all regions together; the capacity target is 23.
+    regions: SmallInt = 1  # One site today; 6 regions in the capacity target.
+    zones: SmallInt = 1  # Zones in all regions together; 23 in the capacity target.
 
 
 class LoadConfig(Table, frozen=True):
     """Demand of all clients together."""
 
-    requests_per_s: PositiveFloat  # First attempts per second; about 120 today, capacity target 210,000.
+    requests_per_s: PositiveFloat  # First attempts/s; about 120 today, 210,000 in the capacity target.
     # Share of the tenants, and so of the requests, that is simulated.
     sampled_share: Annotated[float, Meta(gt=0, le=1)] = 1.0
-    tenants: PositiveInt = 200  # The capacity target is 87,000.
+    tenants: PositiveInt = 200  # 87,000 in the capacity target.
     # Exponent of the Zipf distribution of demand over the tenants of a plan. With 0.5 about one tenant in
     # twelve is over its quota.
-    zipf_exponent: Exponent = 0.5
+    zipf_exponent: SmallFloat = 0.5
     # Total demand as a share of the sum of all quotas.
     quota_utilization: Annotated[float, Meta(gt=0, le=5)] = 0.5
     max_quota_utilization: PositiveFloat = 8.0  # Limit of one tenant's demand, as a multiple of its quota.
@@ -55,8 +55,8 @@
     spike_interval_s: Range = (10.0, 25.0)  # Time between the starts of two spikes of a tenant.
     gateways_per_tenant: tuple[SmallInt, SmallInt] = (2, 4)
     # Zipf exponent of a tenant's weights for its gateways; 0.3 to 1.5 on the bench.
-    gateway_weight_exponent: Exponent = 1.0
-    # Interval after which a tenant's weights move on to others of its gateways.
+    gateway_weight_exponent: SmallFloat = 1.0
+    # Interval at which a tenant's weights are rotated among its gateways.
     gateway_weight_shift_s: Range = (7.1, 21.0)
     max_units: SmallInt = 8  # Largest number of units of one request.
 
@@ -72,7 +72,7 @@
     deadline_ms: PositiveFloat = 2500.0  # Deadline of a request including all its retries.
     timeout_share: tuple[Share, Share] = (0.5, 1.0)  # Timeout of one attempt, as a share of `deadline_ms`.
     disconnect_share: Share = 0.02  # Share of attempts whose client does not wait for the answer.
-    disconnect_after_ms: Range = (0.0, 500.0)  # Time after which it disconnects if there is no answer.
+    disconnect_after_ms: Range = (0.0, 500.0)  # Time after which such a client disconnects if not answered.
     failover_ms: Range = (1200.0, 3200.0)  # Time for which requests still go to a gateway that has died.
 
 
@@ -82,7 +82,7 @@
     cores: SmallInt = 2
     queue_capacity: Annotated[int, Meta(ge=0, le=1_000_000)] = 32  # Queued requests; more are rejected.
     service_time_ms: Range = (80.0, 140.0)  # Mean work of a request on one core of a warm server.
-    service_time_variation: Exponent = 0.3  # Coefficient of variation of the work per unit.
+    service_time_variation: SmallFloat = 0.3  # Coefficient of variation of the work per unit.
     initial_capacity_share: Share = 0.17  # Capacity of a server at its start, as a share of a warm server's.
     warm_up_ms: PositiveFloat = 18000.0  # Time from the beginning of the warm-up to full capacity.
     # Calls that a warming server bears in one overload window, as a multiple of what its capacity can serve.
@@ -133,7 +133,7 @@
     same_zone_ms: NonNegativeFloat = 0.25
     cross_zone_ms: NonNegativeFloat = 0.6
     cross_region_ms: NonNegativeFloat = 35.0
-    jitter_share: Exponent = 0.5  # Largest random addition, as a share of the delay.
+    jitter_share: SmallFloat = 0.5  # Largest random addition, as a share of the delay.
     loss_share: Share = 0.0  # Share of packets that are lost and retransmitted by TCP.
     retransmit_ms: NonNegativeFloat = 200.0  # Additional delay of a retransmitted packet.
 
--- a/quota_gateway/lab/simulation/records.py
+++ b/quota_gateway/lab/simulation/records.py
@@ -43,7 +43,7 @@
         first_gateway: index of the first of its gateways, to be taken modulo the gateways of the pool.
         gateway_count: number of its gateways, which are consecutive in the pool.
         weight_seed: determines which of its gateways gets the largest weight at which time.
-        weight_shift_ms: interval at which the weights move to others of its gateways.
+        weight_shift_ms: interval at which the weights are rotated among its gateways.
         demand_per_s: first attempts per second.
         quota_level: units in the token bucket of the quota; an attempt counts when it is first forwarded.
         hard_limit_level: units in the token bucket of the hard limit; negative while the limit is exceeded.
--- a/quota_gateway/lab/simulation/tenants.py
+++ b/quota_gateway/lab/simulation/tenants.py
@@ -118,7 +118,7 @@
     count = plan_tenants.tenant_count
     usage_share = plan_tenants.config.usage_share
     # Factor on the demand of ordinary tenants, relative to a load without heavy tenants and spikes. It keeps
-    # the total demand the same when heavy tenants and spikes add theirs.
+    # the total demand about the same when heavy tenants and spikes add theirs.
     ordinary_share = (1.0 - excess_utilization(load) / load.quota_utilization) / max(
         1e-9, 1.0 - load.heavy_share
     )
--- a/tests/lab/simulation/test_tenants.py
+++ b/tests/lab/simulation/test_tenants.py
@@ -29,7 +29,7 @@
     assert 0.04 < sum(utilization > 1.0 for utilization in utilizations) / len(utilizations) < 0.12
     assert max(utilizations) <= 8.001
     for plan in (plan_tenants.plan for plan_tenants in plans):
-        assert plan.burst >= 16.0
+        assert plan.burst >= 16.0  # Two requests of the largest size, 8 units.
         assert (plan.hard_limit_rate > plan.rate) == (plan.name == "institucional")
 
 
@@ -58,7 +58,8 @@
     ]
     assert len(spikes) / len(utilizations) == pytest.approx(0.2, rel=0.1)
     assert 4.0 <= min(spikes) <= max(spikes) <= 8.0
-    # Mean demand of the spikes, as a share of the quotas: the excess without that of heavy tenants.
+    # Mean demand of the spikes, as a share of the quotas: the excess without that of the heavy tenants. The
+    # mean demand of a heavy tenant is 3.3 times its quota.
     spikes_utilization = excess_utilization(load) - 0.08 * 3.3
     demand = sum(tenant.demand_per_s for tenant in tenants)
     assert demand == pytest.approx(1000.0 * sampled_share * (0.8 - spikes_utilization) / 0.8, rel=0.1)
