--- a/quota_gateway/lab/cli/load.py
+++ b/quota_gateway/lab/cli/load.py
@@ -32,9 +32,9 @@
 ) -> None:
     """Run real gateways on loopback under load, and measure the latency that they add.
 
-    The added latency of a served request is its latency, counted from its scheduled sending time, less its
-    time at the servers, which record it by request id. The same load is first sent directly to the servers,
-    to show the share of the latency that the tool itself causes.
+    The added latency of a served request is its latency, counted from its intended send time, minus its time
+    at the servers, which they record by request id. A load of the same rate is first sent directly to the
+    servers, to show the share of the latency that the tool itself causes.
     """
     try:
         load_spec = LoadSpec(rate, seconds, seed, beyond)
--- a/quota_gateway/lab/load/client.py
+++ b/quota_gateway/lab/load/client.py
@@ -1,8 +1,8 @@
 """Open-loop load on gateways, without coordinated omission.
 
 The schedule is drawn before the run and does not wait for replies, so requests keep arriving at a gateway
-that stalls. Latency is the time from the intended sending to the last byte of the reply. It therefore
-includes delays of this client, which `LoadSummary.send_delay` shows.
+that stalls. Latency is the time from the intended send time of a request to the last byte of its reply. It
+therefore includes delays in this client, which `LoadSummary.send_delay` reports.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
         self._pools = [GatewayConnectionPool(self, host, port) for host, port in gateways]
         self._all_completed = asyncio.Event()
         self._stop_pacer = threading.Event()
-        self._deadline_timers: dict[RequestRecord, asyncio.TimerHandle] = {}
+        self._expiry_timers: dict[RequestRecord, asyncio.TimerHandle] = {}
 
     async def run(self) -> LoadSummary:
         """Send all requests and wait until each has a reply or is lost.
@@ -71,10 +71,10 @@
         return self._summary
 
     def _pace(self) -> None:
-        """Pass each request to the event loop at its intended sending time.
+        """Pass each request to the event loop at its intended send time.
 
-        Runs in a thread of its own, since waits of a thread are more precise than the event loop's timers,
-        whose resolution is one millisecond.
+        Runs in a thread of its own because a thread can wait more precisely than the event loop, whose timers
+        have a resolution of one millisecond.
         """
         for record in self.records:
             wait_s = record.scheduled_at - time.monotonic()
@@ -87,7 +87,7 @@
             return
         expires_at = record.scheduled_at + record.request.deadline_s + REPLY_GRACE_S
         remaining_s = max(0.0, expires_at - time.monotonic())
-        self._deadline_timers[record] = self._loop.call_later(remaining_s, self._expire, record)
+        self._expiry_timers[record] = self._loop.call_later(remaining_s, self._expire, record)
         self._pools[record.request.gateway_index].send(record)
 
     def _expire(self, record: RequestRecord) -> None:
@@ -101,7 +101,7 @@
         record.outcome = completion.outcome
         record.loss_reason = completion.loss_reason
         record.completed_at = now
-        timer = self._deadline_timers.pop(record, None)
+        timer = self._expiry_timers.pop(record, None)
         if timer is not None:
             timer.cancel()
         self.completed_count += 1
@@ -113,7 +113,7 @@
         self._summary.extra_replies += 1
 
     def _close(self) -> None:
-        for timer in self._deadline_timers.values():
+        for timer in self._expiry_timers.values():
             timer.cancel()
         for pool in self._pools:
             pool.close()
--- a/quota_gateway/lab/load/connections.py
+++ b/quota_gateway/lab/load/connections.py
@@ -1,8 +1,8 @@
 """A client's connections to the gateways.
 
-Clients follow the protocol specification for clients and gateways. They keep their connections open, open
-another one when all are busy, and resend a request on another connection if the gateway closed the idle
-connection while the request was on its way.
+Clients follow the protocol specification for clients and gateways. They keep their connections open, and open
+another one when all are busy. If the gateway closes an idle connection while a request is on its way, they
+resend the request on another connection.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from quota_gateway.lab.fakes.server import request_id_of
 from quota_gateway.lab.load.request_record import LossReason, RequestOutcome, RequestRecord
 
-MAX_CONNECTIONS = 128  # limit for each gateway; when all are busy, requests are pipelined
+MAX_CONNECTIONS = 128  # per gateway; when all of them are busy, requests are pipelined
 MIN_IDLE_BEFORE_CLOSE_S = 1.0  # a gateway closes only connections that have been idle for at least this long
 
 
@@ -27,7 +27,7 @@
     """The outcome of a request, with the reason if it is lost."""
 
     outcome: RequestOutcome
-    loss_reason: LossReason | None = None  # set only if the request is lost
+    loss_reason: LossReason | None = None
 
 
 class RequestTracker(Protocol):
@@ -69,10 +69,10 @@
         self._pool = pool
         self._transport: asyncio.Transport | None = None
         self._reader = hiredis.Reader()
-        self._idle_since: float | None = None  # last time it became idle; None if it has not been idle yet
+        self._idle_since: float | None = None  # when it last became idle; None if it has not been idle yet
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Write the requests that were sent before the connection was established (asyncio's callback)."""
+        """Write the requests that waited for the connection (asyncio's callback)."""
         self._transport = transport  # type: ignore[assignment]  # a TCP connection has a full transport
         if self.closed:
             self.abort()
@@ -113,7 +113,7 @@
             self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
-        """Resend requests that crossed an idle close; all others are lost (asyncio's callback)."""
+        """Resend the requests that `_may_resend` allows; all others are lost (asyncio's callback)."""
         self.closed = True
         self._pool.remove(self)
         pending, self.pending = self.pending, deque()
@@ -128,7 +128,10 @@
                 self._pool.tracker.complete(record, completion, time.monotonic())
 
     def _may_resend(self, record: RequestRecord) -> bool:
-        """Whether the gateway may have closed the idle connection before the request reached it."""
+        """Whether the gateway may have closed the idle connection before the request reached it.
+
+        False for a request that was already resent once, and after the end of the run.
+        """
         if record.resent_at is not None or self._pool.tracker.stopping:
             return False
         if self._idle_since is None or record.sent_at is None:
@@ -192,10 +195,10 @@
             self._idle.remove(connection)
 
     def abandon(self, record: RequestRecord) -> None:
-        """Give up a request and abort the connection on which it is pending.
+        """Give up a request, and abort the connection on which it is pending.
 
-        Replies are matched with requests by their order, so the connection cannot be reused while the reply
-        to this request may still arrive.
+        Replies are matched with requests by their order, so the connection cannot be reused: the reply to
+        this request may still arrive.
         """
         for connection in list(self._connections):
             if record in connection.pending:
--- a/quota_gateway/lab/load/deployment.py
+++ b/quota_gateway/lab/load/deployment.py
@@ -1,7 +1,7 @@
 """The deployment of the demo and the load test, and the part of its settings that clients need.
 
 The keys of the settings are those of the simulator wire specification. The quotas are small enough for
-rejections to appear within seconds, and the servers can carry all requests that the quotas admit.
+rejections to appear within seconds, and the servers can serve all requests that the quotas admit.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     """One plan (`packages`). Its quota applies to each customer, over all gateways together."""
 
     name: str
-    rate: float = msgspec.field(name="per_second", default=0.0)  # units a second; 0 means no quota
+    rate: float = msgspec.field(name="per_second", default=0.0)  # units/s; 0 means no quota
     burst: float = msgspec.field(name="most_at_once", default=0.0)  # capacity of the token bucket, in units
 
 
@@ -28,7 +28,7 @@
 
     name: str
     repeat: str  # a key of `IDEMPOTENCY_NAMES`; any other value counts as non-idempotent
-    deadline_ms: float = msgspec.field(name="hard_limit_ms")  # longest time that a client waits after sending
+    deadline_ms: float = msgspec.field(name="hard_limit_ms")  # longest time from sending to the reply
 
     @property
     def idempotency(self) -> Idempotency:
@@ -61,7 +61,7 @@
 
 
 def gateway_settings(gateway_count: int, gateway_index: int = 0) -> dict[str, Any]:
-    """Return the settings of one of `gateway_count` gateways, with the keys of its configuration file."""
+    """Return the settings of one of `gateway_count` gateways, as written to its configuration file."""
     return {
         "areas": ["a"],
         "balancers": gateway_count,
--- a/quota_gateway/lab/load/fault_schedule.py
+++ b/quota_gateway/lab/load/fault_schedule.py
@@ -41,13 +41,13 @@
             self._add(fault)
 
     def start(self) -> None:
-        """Start the schedule, at the same time as the load. Runs inside an event loop."""
+        """Start the schedule. Must be called in a running event loop, just before the load starts."""
         loop = asyncio.get_running_loop()
         finite = [step for step in self._steps if math.isfinite(step.at_s)]
         self._timers = [loop.call_later(step.at_s, step.apply) for step in finite]
 
     def stop(self) -> None:
-        """Cancel all steps that are still to come. Faults that are active stay active."""
+        """Cancel all steps that have not been applied yet. Active faults stay active."""
         for timer in self._timers:
             timer.cancel()
 
--- a/quota_gateway/lab/load/gateway_process.py
+++ b/quota_gateway/lab/load/gateway_process.py
@@ -19,14 +19,14 @@
 from quota_gateway.lab.fakes.loopback_server import LOOPBACK
 
 START_TIMEOUT_S = 15.0  # a start takes about 0.1 s, but far longer on a busy machine
-# Time from SIGTERM to SIGKILL. The protocol specification allows the longest deadline, which counts as 3 s if
-# it is longer, plus 0.7 s.
+# Time from SIGTERM to SIGKILL. The protocol specification allows a gateway the longest request deadline
+# (limited to 3 s) plus 0.7 s.
 SHUTDOWN_TIMEOUT_S = 8.0
 POLL_INTERVAL_S = 0.01
 PING_TIMEOUT_S = 1.0
 PR_SET_PDEATHSIG = 1  # option number, see prctl(2)
-LOG_TAIL_CHARACTERS = 300  # length of the excerpt of a gateway's log that an error quotes
-CONFIG_VARIABLE_PREFIX = "EDGE_"  # environment variables that configure a gateway (deployment specification)
+LOG_TAIL_CHARACTERS = 300  # length of the end of a gateway's log that an error quotes
+CONFIG_VARIABLE_PREFIX = "EDGE_"  # environment variables of a gateway (deployment specification)
 NANOSECONDS_PER_SECOND = 1e9
 KIB_PER_MIB = 1024.0
 
@@ -69,7 +69,7 @@
     def __init__(self, name: str, directory: Path) -> None:
         self.name = name
         self.exit_status: int | None = None  # None before the start and while the process runs
-        self.killed = False  # whether it was ended with SIGKILL
+        self.killed = False  # whether `kill` had to end it with SIGKILL
         self._port_reservation = reserve_port()
         self.port = int(self._port_reservation.getsockname()[1])
         self._config_path = directory / f"{name}.json"
@@ -139,7 +139,7 @@
         return self._process is not None and self.exit_status is None
 
     def log_tail(self) -> str:
-        """Return the end of the gateway's log, joined to one line."""
+        """Return the end of the gateway's log as one line."""
         text = self._log_path.read_text(errors="replace") if self._log_path.exists() else ""
         return " ".join(text.split())[-LOG_TAIL_CHARACTERS:] or "its log is empty"
 
@@ -167,7 +167,7 @@
         return self._process.pid if self._process is not None else -1
 
     def terminate(self) -> None:
-        """Send SIGTERM to the process if it runs, and give up the reserved port."""
+        """Send SIGTERM to the process if it runs, and release the reserved port."""
         self._port_reservation.close()
         if self._process is not None and self.is_running():
             self._process.send_signal(signal.SIGTERM)
@@ -180,7 +180,7 @@
         self.kill()
 
     def kill(self) -> None:
-        """Kill and reap the process if it still runs, and give up the reserved port."""
+        """Kill and reap the process if it still runs, and release the reserved port."""
         self._port_reservation.close()
         if self._process is not None and self.is_running():
             self.killed = True
--- a/quota_gateway/lab/load/quota_audit.py
+++ b/quota_gateway/lab/load/quota_audit.py
@@ -1,10 +1,11 @@
-"""An audit of how well the quotas were kept, by a replay of the requests that reached the servers.
+"""An audit of how well the quotas were kept: a replay of the requests that were forwarded or rejected.
 
 The rules are those of the simulator wire specification for `packages`. A customer's token bucket starts full,
-holds `most_at_once` units and is refilled at `per_second` units a second. A request is within quota if the
-bucket holds its units when its first attempt reaches a server, and then takes them. A request that is
-forwarded over quota takes nothing. No gateway knows the current level of a bucket, so some rejections within
-quota are unavoidable; their number serves to compare gateways.
+holds `most_at_once` units and is refilled at `per_second` units/s. A forwarded request is within quota if the
+bucket holds its units when its first attempt reaches a server, and then takes them. A request forwarded over
+quota takes nothing. A rejected request is within quota if the bucket holds its units when the rejection
+arrives. No gateway knows the current level of a bucket, so some rejections within quota are unavoidable;
+their number serves to compare gateways.
 """
 
 from __future__ import annotations
@@ -72,7 +73,7 @@
 def audit_quotas(
     deployment: Deployment, records: Iterable[RequestRecord], attempt_log: AttemptLog
 ) -> QuotaAudit:
-    """Replay the quotas of a finished run."""
+    """Replay the decisions of a finished run in the order of their times."""
     plans = {plan.name: plan for plan in deployment.plans if plan.rate}
     audit = QuotaAudit()
     buckets: dict[bytes, TokenBucket] = {}
--- a/quota_gateway/lab/load/request_record.py
+++ b/quota_gateway/lab/load/request_record.py
@@ -37,16 +37,16 @@
     """One request of a run and its outcome. Times are seconds of `time.monotonic`."""
 
     request: ScheduledRequest
-    scheduled_at: float  # intended sending time
+    scheduled_at: float  # intended send time
     sent_at: float | None = None  # last time it was written to a connection; None if never
-    resent_at: float | None = None  # set if the close of an idle connection crossed the request
+    resent_at: float | None = None  # set if resent after an idle connection was closed
     completed_at: float = 0.0
     outcome: RequestOutcome = RequestOutcome.PENDING
     loss_reason: LossReason | None = None
 
     @property
     def latency_s(self) -> float:
-        """Time from the intended sending to the last byte of the reply, in seconds."""
+        """Time from the intended send time to the last byte of the reply, in seconds."""
         return self.completed_at - self.scheduled_at
 
     def lose(self, reason: LossReason) -> None:
--- a/quota_gateway/lab/load/schedule.py
+++ b/quota_gateway/lab/load/schedule.py
@@ -28,7 +28,7 @@
 DEMAND_OVER_QUOTA = 3.0  # demand of customers that exceed their quota, as a multiple of it
 MAX_GATEWAYS_PER_CUSTOMER = 3
 CUSTOMER_ID_LIMIT = 1 << 33  # exclusive upper bound of customer ids in the protocol specification
-MIN_CUSTOMER_RATE = 1e-6  # smallest decrement in the loop of `draw_customers`, which ensures that it ends
+MIN_RATE_DECREMENT = 1e-6  # requests per second; ensures that the loop in `draw_customers` ends
 
 
 class LoadSpecError(ValueError):
@@ -43,7 +43,7 @@
         LoadSpecError: a value is out of range.
     """
 
-    rate: float  # requests a second, over all gateways
+    rate: float  # requests per second, over all gateways
     duration_s: float
     seed: int = 1
     over_quota_share: float = 0.25  # share of customers whose demand exceeds their quota
@@ -76,7 +76,7 @@
 
     customer_id: bytes  # 16 hex digits
     plan: str
-    rate: float  # requests a second
+    rate: float  # requests per second
     gateways_per_customer: int  # number of consecutive gateways that receive its requests
     first_gateway: int  # index of the first of these gateways; the indexes wrap around
 
@@ -90,13 +90,13 @@
     units: float
     gateway_index: int
     command: bytes  # RESP2 encoding of the request
-    deadline_s: float  # longest time that the client waits after sending
+    deadline_s: float  # longest time from sending to the reply, as stated in the command
     idempotency: Idempotency
-    offset_s: float  # intended sending time, from the start of the run
+    offset_s: float  # intended send time, from the start of the run
 
 
 def draw_customers(deployment: Deployment, spec: LoadSpec) -> list[Customer]:
-    """Draw customers whose rates add up to the load's rate; the rate of the last customer is cut to fit."""
+    """Draw customers whose rates add up to the load's rate; the last customer's rate is reduced to fit."""
     rng = random.Random(f"tenants {spec.seed}")
     gateways_per_customer = min(deployment.gateway_count, MAX_GATEWAYS_PER_CUSTOMER)
     customers: list[Customer] = []
@@ -109,7 +109,7 @@
         customer_id = b"%016x" % rng.randrange(CUSTOMER_ID_LIMIT)
         first_gateway = rng.randrange(deployment.gateway_count)
         customers.append(Customer(customer_id, plan.name, rate, gateways_per_customer, first_gateway))
-        remaining_rate -= max(rate, MIN_CUSTOMER_RATE)
+        remaining_rate -= max(rate, MIN_RATE_DECREMENT)
     return customers
 
 
@@ -119,7 +119,7 @@
 
 
 def draw_schedule(deployment: Deployment, spec: LoadSpec) -> list[ScheduledRequest]:
-    """Draw the requests of a run, in the order of their intended sending."""
+    """Draw the requests of a run, in the order of their intended send times."""
     rng = random.Random(f"schedule {spec.seed}")
     customers = draw_customers(deployment, spec)
     request_count = round(spec.rate * spec.duration_s)
--- a/quota_gateway/lab/load/scheduled_fault.py
+++ b/quota_gateway/lab/load/scheduled_fault.py
@@ -2,8 +2,10 @@
 
 One fault is written as ``TARGET:KIND[,share=S][,delay=MS][,from=S][,to=S]``, for example
 ``servers:reset,share=0.2,from=1,to=3`` or ``s0:drain,from=2``. A target is `servers`, the name of one
-server, `counter` or `discovery`. A kind is a value of `FaultKind`, or `drain` for servers. A draining server
-completes its requests and is listed as terminating; at the end of the drain it is listed as just started.
+server, `counter` or `discovery`. A kind is a value of `FaultKind`, or `drain` for servers. `share` is the
+probability that the fault affects a call, and `delay` the delay of the reply in ms. `from` and `to` are times
+from the start of the load, in seconds. A draining server completes its requests and is listed as draining; at
+the end of the drain it is listed as just started.
 """
 
 from __future__ import annotations
@@ -18,7 +20,7 @@
 
 
 class ScheduledFaultError(ValueError):
-    """A fault has an invalid text or is not supported by the testbed. The message is one line."""
+    """The text of a fault is invalid, or the testbed does not support the fault. The message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/quota_gateway/lab/load/summary.py
+++ b/quota_gateway/lab/load/summary.py
@@ -23,12 +23,12 @@
         default_factory=lambda: {outcome: LatencyHistogram() for outcome in RequestOutcome}
     )
     added_latency: LatencyHistogram = field(default_factory=LatencyHistogram)  # latency minus time at servers
-    # Difference between the actual and the intended sending time.
+    # Difference between the actual and the intended send time.
     send_delay: LatencyHistogram = field(default_factory=LatencyHistogram)
     losses: dict[LossReason, int] = field(default_factory=dict)
     extra_replies: int = 0  # replies for which no request was pending
     duplicate_executions: int = 0  # non-idempotent requests that servers ran more than once
-    resent: int = 0  # requests that were resent because the close of an idle connection crossed them
+    resent: int = 0  # requests resent after an idle connection was closed
     late: int = 0  # replies past their deadline by more than `LATE_REPLY_MARGIN_S`
 
     @property
--- a/quota_gateway/lab/load/testbed.py
+++ b/quota_gateway/lab/load/testbed.py
@@ -117,7 +117,7 @@
         }
 
     async def stop(self) -> None:
-        """Shut the gateways down as in a planned restart, then stop the fakes. Further calls do no harm."""
+        """Shut the gateways down as in a planned restart, then stop the fakes. May be called repeatedly."""
         try:
             for gateway in self.gateways:
                 gateway.terminate()
--- a/quota_gateway/lab/load/trial.py
+++ b/quota_gateway/lab/load/trial.py
@@ -21,7 +21,7 @@
 from quota_gateway.lab.load.testbed import LoopbackTestbed, LoopbackTestbedSpec
 from quota_gateway.lab.load.trial_result import SHOWN_OUTCOMES, GatewayResult, TrialResult
 
-MAX_OVERHEAD_DURATION_S = 2.0  # longest load without gateways, which measures the client's overhead
+MAX_OVERHEAD_DURATION_S = 2.0  # longest load that is sent to measure the client's overhead
 MICROSECONDS_PER_SECOND = 1e6
 OVERHEAD_CAPACITY_FACTOR = 3.0  # capacity of the servers used without gateways, relative to the load
 
--- a/quota_gateway/lab/load/trial_result.py
+++ b/quota_gateway/lab/load/trial_result.py
@@ -42,7 +42,7 @@
     format: int = RESULT_FORMAT
     gateways: list[GatewayResult]
     servers: int
-    rate: float  # requests a second
+    rate: float  # requests per second
     duration_s: float = field(name="seconds")
     seed: int
     requests: int
@@ -50,12 +50,12 @@
     losses: dict[str, int]  # number of lost requests; keys are values of `LossReason`
     extra_replies: int = field(name="doubled")  # replies for which no request was pending
     duplicate_executions: int = field(name="ran_twice")  # non-idempotent requests that ran more than once
-    late: int  # replies past the deadline
-    resent: int = field(name="sent_again")  # requests that crossed an idle close, see `connections`
+    late: int  # replies past the deadline by more than `summary.LATE_REPLY_MARGIN_S`
+    resent: int = field(name="sent_again")  # requests resent after an idle connection was closed
     latency_ms: dict[str, Percentiles]  # latency by the value of `RequestOutcome`, see `RequestRecord`
     added_latency_ms: Percentiles = field(name="added_ms")  # latency of served requests minus time at servers
     client_overhead_ms: Percentiles | None = field(name="floor_ms")  # added latency without a gateway
-    send_delay_ms: Percentiles = field(name="pacing_ms")  # time from the intended to the actual sending
+    send_delay_ms: Percentiles = field(name="pacing_ms")  # from the intended to the actual send time
     counter_calls: int
     counter_rejections: int = field(name="counter_turned_away")
     tool_cpu_s: float = field(name="tool_processor_s")  # CPU time of client and fakes during the load
