--- a/quota_gateway/lab/__init__.py
+++ b/quota_gateway/lab/__init__.py
@@ -1,4 +1,4 @@
-"""The lab: a simulator of the fleet, and tests of real gateways with fake peers.
+"""The lab: a simulator of the fleet, load tests of real gateways with fake peers, and measurements of costs.
 
-The gateway itself imports none of it.
+The gateway itself imports nothing from this package.
 """
--- a/quota_gateway/lab/cli/lab.py
+++ b/quota_gateway/lab/cli/lab.py
@@ -100,13 +100,13 @@
 
 
 def _bad_input(message: str) -> typer.Exit:
-    """Print the message as one line on standard error, and return the exit for bad input."""
+    """Print the message as one line on standard error, and return the exit to raise."""
     print(f"quota-gateway lab: {message}", file=sys.stderr)
     return typer.Exit(EXIT_BAD_INPUT)
 
 
 def _check_output(out: Path | None) -> None:
-    """Exit with an error if the result of the run can't be written to the file `out`."""
+    """Exit with an error if the result of the command can't be written to the file `out`."""
     try:
         if out is not None:
             results.check_output_path(out)
--- a/quota_gateway/lab/cli/logging_setup.py
+++ b/quota_gateway/lab/cli/logging_setup.py
@@ -11,7 +11,7 @@
 def configure_logging() -> None:
     """Write log lines in logfmt to standard error; standard output is reserved for results.
 
-    May be called repeatedly, and has to be called in each new process.
+    May be called repeatedly, and must be called in each new process.
     """
     structlog.configure(
         processors=[
--- a/quota_gateway/lab/cli/progress.py
+++ b/quota_gateway/lab/cli/progress.py
@@ -1,4 +1,4 @@
-"""A progress bar on standard error, shown only if that is a terminal."""
+"""A progress bar on standard error, shown only if standard error is a terminal."""
 
 from __future__ import annotations
 
--- a/quota_gateway/lab/fakes/attempt_log.py
+++ b/quota_gateway/lab/fakes/attempt_log.py
@@ -40,7 +40,7 @@
 
     @property
     def time_at_server_s(self) -> float:
-        """Time in the queue and on the core, in seconds; 0 for an attempt that never completed."""
+        """Time from arrival to completion, in seconds; 0 for an attempt that never completed."""
         return self.completed_at - self.arrived_at if self.completed_at is not None else 0.0
 
 
--- a/quota_gateway/lab/fakes/counter.py
+++ b/quota_gateway/lab/fakes/counter.py
@@ -1,4 +1,4 @@
-"""A fake of the shared counter: named totals behind INCRTTL on RESP2, in partitions of bounded capacity.
+"""A fake of the shared counter: named totals with INCRTTL over RESP2, in partitions of bounded capacity.
 
 The fake follows the protocol specification of the counter. Each name belongs to one partition, which serves
 its calls one by one. A call that would be queued for longer than `max_queue_wait_ms` is rejected with
@@ -53,7 +53,7 @@
     reply_delay_ms: float = 0.0  # delay between the end of a call's service and its reply
     max_queue_wait_ms: float = 100.0
     idle_timeout_ms: float = 10_000.0
-    max_connections: int = 1024  # while more are open, a new connection is reset at its first command
+    max_connections: int = 1024  # while more are open, a connection is reset at its first command
 
     def __post_init__(self) -> None:
         times = (self.reply_delay_ms, self.max_queue_wait_ms, self.idle_timeout_ms)
@@ -171,7 +171,7 @@
 
 
 def _parse_increment(arguments: list[bytes]) -> IncrementCall | None:
-    """Parse ``INCRTTL NAME AMOUNT TTL``; return None if the call is not valid. A long TTL is shortened."""
+    """Parse ``INCRTTL NAME AMOUNT TTL``; None if it is not valid. The TTL is limited to the maximum."""
     if len(arguments) != 4 or not 1 <= len(arguments[1]) <= MAX_NAME_BYTES:
         return None
     try:
--- a/quota_gateway/lab/fakes/faults.py
+++ b/quota_gateway/lab/fakes/faults.py
@@ -94,11 +94,11 @@
         self._active.remove(fault)
 
     def clear(self) -> None:
-        """Deactivate all faults. Calls that are already affected by a fault stay so."""
+        """Deactivate all faults. Calls for which a fault was already drawn stay affected."""
         self._active.clear()
 
     def draw(self) -> Fault | None:
-        """Draw the fault of the next call; None for none.
+        """Draw the fault of the next call; None if the call is not affected.
 
         The active faults are tried in the order of their injection, and the first one drawn applies.
         """
--- a/quota_gateway/lab/fakes/http_server.py
+++ b/quota_gateway/lab/fakes/http_server.py
@@ -26,7 +26,7 @@
 
 
 class HttpConnection(LoopbackConnection):
-    """A connection of an HTTP fake. It is closed when it receives anything but an HTTP request."""
+    """A connection of an HTTP fake. It is closed when it receives anything other than an HTTP request."""
 
     def __init__(self, server: HttpServer) -> None:
         super().__init__(server)
--- a/quota_gateway/lab/fakes/resp_server.py
+++ b/quota_gateway/lab/fakes/resp_server.py
@@ -61,7 +61,7 @@
 
 
 class RespConnection(LoopbackConnection):
-    """A connection of a RESP fake. It is closed when it receives anything but a command."""
+    """A connection of a RESP fake. It is closed when it receives anything other than a command."""
 
     def __init__(self, server: RespServer) -> None:
         super().__init__(server)
--- a/quota_gateway/lab/fakes/server.py
+++ b/quota_gateway/lab/fakes/server.py
@@ -1,4 +1,4 @@
-"""A fake valuation server: RESP2, several cores that share one bounded queue, draining.
+"""A fake server: RESP2, several cores that share one bounded queue, draining.
 
 The server follows the protocol specification for gateways and servers. A request runs on a free core or
 waits in the queue. When the queue is full, or while the server drains, the request is rejected with ``-BUSY``
--- a/quota_gateway/lab/machine.py
+++ b/quota_gateway/lab/machine.py
@@ -17,8 +17,8 @@
 def reference_loop_ms() -> float:
     """Return the processor time of a fixed loop in ms: the median over `REFERENCE_REPEATS` repetitions.
 
-    The speed of a shared machine varies within minutes. This time makes figures measured at different moments
-    comparable.
+    The speed of a shared machine varies within minutes. With this time, figures that were measured at
+    different times can be compared.
     """
     durations = []
     for _ in range(REFERENCE_REPEATS):
--- a/quota_gateway/lab/scaling/fleet_load.py
+++ b/quota_gateway/lab/scaling/fleet_load.py
@@ -53,7 +53,7 @@
 
     @property
     def control_ms_per_s(self) -> float:
-        """Processor time, ms per second, that a gateway may spend on control work."""
+        """Processor time that a gateway may spend on control work, in ms per second."""
         return 1000.0 * self.plan.limits.control_core_share
 
     @property
@@ -69,10 +69,10 @@
         return (CHANGES_PER_REPLACEMENT * size.restarts_per_day + size.failures_per_day) / SECONDS_PER_DAY
 
     def change_processor_ms(self, changes_per_s: float) -> float:
-        """Return the processor time, ms per second, of parsing and handling endpoint changes at a rate."""
+        """Return the processor time of parsing and handling endpoint changes at a rate, in ms per second."""
         handling_ms = self.slopes.at(SlopeName.ONE_CHANGE, self.plan.size.servers)
         return changes_per_s * (handling_ms + self.slopes.per_unit(SlopeName.SNAPSHOT_PARSED))
 
     def change_bytes(self, changes: float) -> float:
-        """Return the bytes of a number of endpoint changes, each sent in a delta of its own."""
+        """Return the bytes of a given number of endpoint changes, each sent in a delta of its own."""
         return changes * (self.slopes.at(SlopeName.UPDATE_BYTES, 1) + ROUND_TRIP_HEADER_BYTES)
--- a/quota_gateway/lab/scaling/fleet_plan.py
+++ b/quota_gateway/lab/scaling/fleet_plan.py
@@ -41,7 +41,7 @@
     """Capacity of the shared counter, and the demand for it."""
 
     calls_per_machine_s: PositiveFloat
-    calls_per_request: PositiveFloat  # calls that a gateway makes per request while calls are not limited
+    calls_per_request: PositiveFloat  # calls that a gateway would make per request without a limit
 
 
 class FleetPlan(Table, frozen=True):
--- a/quota_gateway/lab/scaling/list_parsing.py
+++ b/quota_gateway/lab/scaling/list_parsing.py
@@ -22,7 +22,7 @@
 
 
 def parse_step_times_ms(body: bytes) -> list[float]:
-    """Return the processor time, ms, of each step of parsing a long list.
+    """Return the processor time of each step of parsing a long list, in ms.
 
     The gateway serves requests between steps, so the longest step bounds the delay that parsing adds to them.
     """
--- a/quota_gateway/lab/scaling/network_costs.py
+++ b/quota_gateway/lab/scaling/network_costs.py
@@ -1,4 +1,4 @@
-"""Measures the network code: processor time per request, and sizes of the control messages."""
+"""Measures the network code: processor time per request, and rate and sizes of control messages."""
 
 from __future__ import annotations
 
@@ -51,9 +51,9 @@
 
 
 def message_sizes() -> list[Slope]:
-    """Return the sizes of a gateway's watches and counter calls, each with its response.
+    """Return the sizes of a gateway's watches and counter calls, and the rate of its calls for an idle watch.
 
-    IP and TCP headers and acknowledgements are not included.
+    Sizes include the responses. IP and TCP headers and acknowledgements are not included.
     """
     return [*_watch_sizes(), *_counter_sizes()]
 
--- a/quota_gateway/lab/scaling/policy_costs.py
+++ b/quota_gateway/lab/scaling/policy_costs.py
@@ -33,7 +33,7 @@
 
 @contextmanager
 def _frozen_heap() -> Iterator[None]:
-    """Exclude all existing objects from garbage collection, which would add its time to a measurement."""
+    """Exclude all existing objects from garbage collection, whose time would be added to the measurements."""
     gc.collect()
     gc.freeze()
     try:
--- a/quota_gateway/lab/scaling/process_costs.py
+++ b/quota_gateway/lab/scaling/process_costs.py
@@ -47,7 +47,7 @@
 
 
 def costs_by_process(counts: Sequence[int], repeats: int, on_step: Callable[[], None]) -> list[Slope]:
-    """Measure the start and the memory of a gateway process against the length of its endpoint list.
+    """Measure the start and the memory of a gateway process as functions of the length of its endpoint list.
 
     Args:
         counts: lengths of the endpoint list.
--- a/quota_gateway/lab/scaling/slopes.py
+++ b/quota_gateway/lab/scaling/slopes.py
@@ -1,8 +1,8 @@
-"""Slopes: the costs of the real policy and network code against the numbers of servers and of customers.
+"""Slopes: costs of the real policy and network code as functions of the numbers of servers and customers.
 
-Nothing is simulated here. A figure is either a processor time (of this process for one call, or of a gateway
-process for its start) or a number of bytes (of a message, of records or of a process). Measurements are
-repeated and reported as minimum, median and maximum. A straight line is fitted to the medians.
+Nothing is simulated here. Figures are processor times (of this process for one call, or of a gateway process
+for its start), numbers of bytes (of a message, of records or of a process) and a rate of calls. Each figure
+is reported as minimum, median and maximum of its values. A straight line is fitted to the medians.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 # The largest counts are those of the capacity target.
 SERVER_COUNTS = (20, 200, 2_000, 20_000)
 CUSTOMER_COUNTS = (100, 1_000, 10_000, 87_000)
-FRACTIONAL_UNITS = ("ms", "calls/s")  # units whose figures may be below 1
+FRACTIONAL_UNITS = ("ms", "calls/s")  # units of figures that may be below 1
 
 
 def measure(max_servers: int, repeats: int, progress: Callable[[float], None]) -> dict[str, Any]:
@@ -35,7 +35,8 @@
     server_counts = [count for count in SERVER_COUNTS if count <= max_servers]
     customer_counts = CUSTOMER_COUNTS
     completed_steps = 0
-    total_steps = 3 * len(server_counts) + len(customer_counts)  # three measurements go over the servers
+    # Three of the functions below measure at each server count.
+    total_steps = 3 * len(server_counts) + len(customer_counts)
 
     def on_step() -> None:
         nonlocal completed_steps
@@ -62,8 +63,8 @@
 
 def show(console: Console, result: dict[str, Any]) -> None:
     """Print a line that describes the machine, and tables of all points and fitted lines."""
-    end_pace = f"reference loop at the end {result['reference_after_ms']} ms"
-    console.print(f"slopes: {machine_line(result['machine'])}; {end_pace}", soft_wrap=True)
+    final_reference = f"reference loop at the end {result['reference_after_ms']} ms"
+    console.print(f"slopes: {machine_line(result['machine'])}; {final_reference}", soft_wrap=True)
     points = [_point_row(slope, point) for slope in result["slopes"] for point in slope["points"]]
     console.print(table("Points", ["figure", "against", "min", "median", "max", "unit"], points))
     fits = [_fit_row(slope) for slope in result["slopes"] if len(slope["points"]) > 1]
--- a/quota_gateway/lab/toml_config.py
+++ b/quota_gateway/lab/toml_config.py
@@ -1,4 +1,7 @@
-"""Reads TOML configuration files into typed records. Each error is one line with file, line and key."""
+"""Reads TOML configuration files into typed records.
+
+Each error is one line that names the file and, if known, the line and the key.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 import msgspec
 from msgspec import Meta
 
-# The upper bounds catch a size with a few zeros too many, which would otherwise exhaust the machine's memory
+# The upper bounds reject a size with a few zeros too many, which would otherwise exhaust the machine's memory
 # before a later check reports it.
 PositiveFloat = Annotated[float, Meta(gt=0, le=1e9)]
 NonNegativeFloat = Annotated[float, Meta(ge=0, le=1e9)]
@@ -23,7 +26,7 @@
 
 
 class ConfigFileError(ValueError):
-    """A file that can't be used. The message is one line with file, line and key."""
+    """A file that can't be used. The message is one line, see the module's documentation."""
 
 
 class Table(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
