--- a/tests/lab/fakes/harness.py
+++ b/tests/lab/fakes/harness.py
@@ -57,7 +57,7 @@
 
 
 async def assert_fault_shows(client: RespClient, kind: FaultKind) -> None:
-    """Check what the caller of a RESP fake receives when its call meets a fault of this kind."""
+    """Check what the caller of a RESP fake receives when a fault of this kind affects its call."""
     if kind is FaultKind.RESET:
         with pytest.raises(ConnectionResetError):
             await client.read_reply()
--- a/tests/lab/fakes/test_attempt_log.py
+++ b/tests/lab/fakes/test_attempt_log.py
@@ -20,7 +20,7 @@
     assert log.count_by_outcome() == {"busy": 1, "open": 2}
 
 
-def test_an_attempt_that_never_ended_took_no_time() -> None:
+def test_an_attempt_that_never_completed_took_no_time() -> None:
     attempt = Attempt(b"r1", "s0", arrived_at=1.0)
     assert attempt.time_at_server_s == 0.0
     attempt.complete(AttemptOutcome.SERVED, 1.25)
--- a/tests/lab/fakes/test_server.py
+++ b/tests/lab/fakes/test_server.py
@@ -124,7 +124,7 @@
         ("unavailable", "busy", 0),
     ],
 )
-def test_how_each_fault_of_a_server_shows_and_whether_the_request_has_run(
+def test_how_each_fault_of_a_server_appears_and_whether_the_request_has_run(
     kind: str, outcome: str, executions: int
 ) -> None:
     async def scenario(server: FakeServer, client: RespClient) -> None:
--- a/tests/lab/load/harness.py
+++ b/tests/lab/load/harness.py
@@ -22,7 +22,7 @@
 
     Args:
         count: number of requests.
-        interval_s: time between the intended sending of two requests.
+        interval_s: time between the intended send times of consecutive requests.
         **changes: other values for fields of `ScheduledRequest`.
     """
     drawn = draw_schedule(DEPLOYMENT, LoadSpec(1000.0, 1.0))
--- a/tests/lab/load/test_client.py
+++ b/tests/lab/load/test_client.py
@@ -1,4 +1,4 @@
-"""The open-loop client with misbehaving gateways: outcomes, losses, and latency from the intended sending."""
+"""The open-loop client with misbehaving gateways: outcomes, losses, and latency from intended send times."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.network.scripted_peers import always_reply
 
 
-def test_the_load_does_not_wait_for_replies_and_a_stall_counts_from_the_intended_sending() -> None:
+def test_the_load_does_not_wait_for_replies_and_a_stall_counts_from_the_intended_send_time() -> None:
     received: list[bytes] = []
     all_received = asyncio.Event()
 
--- a/tests/lab/load/test_connections.py
+++ b/tests/lab/load/test_connections.py
@@ -37,12 +37,12 @@
 @pytest.mark.parametrize(
     ("min_idle_s", "forwarded", "served", "losses"),
     [
-        (0.0, False, 2, {}),  # the close of the idle connection crossed the request, which is resent
+        (0.0, False, 2, {}),  # an idle close, which may have preceded the request: it is resent
         (0.0, True, 1, {LossReason.CONNECTION_CLOSED_AFTER_FORWARD: 1}),
         (60.0, False, 1, {LossReason.CONNECTION_CLOSED: 1}),  # closed too soon to be an idle close
     ],
 )
-def test_a_close_loses_a_request_unless_it_crossed_it_on_an_idle_connection(
+def test_a_closed_connection_loses_its_request_unless_it_may_have_been_closed_as_idle(
     min_idle_s: float,
     forwarded: bool,
     served: int,
--- a/tests/lab/load/test_deployment.py
+++ b/tests/lab/load/test_deployment.py
@@ -20,6 +20,6 @@
         ({"packages": [{"name": 5}]}, "packages"),
     ],
 )
-def test_settings_that_name_nothing_to_ask_for_are_rejected(settings: dict[str, Any], message: str) -> None:
+def test_unusable_settings_are_rejected(settings: dict[str, Any], message: str) -> None:
     with pytest.raises(ValueError, match=message):
         decode_deployment(settings)
--- a/tests/lab/load/test_fault_schedule.py
+++ b/tests/lab/load/test_fault_schedule.py
@@ -1,4 +1,4 @@
-"""Scheduled faults begin and end in time, and faults that the testbed does not support are rejected."""
+"""Scheduled faults begin and end at their times; faults that the testbed does not support are rejected."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 @pytest.mark.parametrize("text", ["s9:reset", "counter:drain", "counter:partial", "s0:cut", "moon:reset"])
-def test_a_fault_that_the_testbed_cannot_show_is_rejected_at_once(text: str) -> None:
+def test_a_fault_that_the_testbed_does_not_support_is_rejected_at_once(text: str) -> None:
     with pytest.raises(ScheduledFaultError):
         FaultSchedule(LoopbackTestbed(LoopbackTestbedSpec()), [parse_scheduled_fault(text)])
 
 
-def test_faults_begin_and_end_in_their_time() -> None:
+def test_faults_begin_and_end_at_their_times() -> None:
     async def scenario() -> None:
         testbed = LoopbackTestbed(LoopbackTestbedSpec(server_count=2))
         testbed.discovery.put(ListedServer("s1", testbed.servers[1].address))
--- a/tests/lab/load/test_schedule.py
+++ b/tests/lab/load/test_schedule.py
@@ -26,7 +26,7 @@
 )
 
 
-def test_equal_seeds_give_equal_schedules_at_the_rate_asked_for() -> None:
+def test_equal_seeds_give_equal_schedules_with_the_rate_of_the_load() -> None:
     specs = (LoadSpec(500.0, 4.0, seed=7), LoadSpec(500.0, 4.0, seed=7), LoadSpec(500.0, 4.0, seed=8))
     first, same_seed, other_seed = (draw_schedule(DEPLOYMENT, spec) for spec in specs)
     offsets = [request.offset_s for request in first]
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize(("over_quota_share", "expected_share"), [(0.0, 0.0), (0.25, 0.25), (1.0, 1.0)])
-def test_customers_ask_for_the_full_rate_and_a_share_of_them_over_quota(
+def test_customers_have_the_rate_of_the_load_in_sum_and_a_share_of_them_is_over_quota(
     over_quota_share: float, expected_share: float
 ) -> None:
     customers = draw_customers(DEPLOYMENT, LoadSpec(800.0, 1.0, over_quota_share=over_quota_share))
--- a/tests/lab/load/test_scheduled_fault.py
+++ b/tests/lab/load/test_scheduled_fault.py
@@ -39,7 +39,7 @@
         "s0:drain,share=0.5",
     ],
 )
-def test_an_invalid_fault_gets_one_line(text: str) -> None:
+def test_an_invalid_fault_is_reported_in_one_line(text: str) -> None:
     with pytest.raises(ScheduledFaultError) as error:
         parse_scheduled_fault(text)
     assert "\n" not in str(error.value)
--- a/tests/lab/load/test_testbed.py
+++ b/tests/lab/load/test_testbed.py
@@ -13,7 +13,7 @@
 from tests.network.scenario import run_scenario
 
 
-def test_a_gateway_that_does_not_start_is_reported_with_its_log_and_everything_is_ended(
+def test_a_gateway_that_does_not_start_is_reported_with_its_log_and_everything_is_stopped(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
--- a/tests/lab/scaling/test_capacity.py
+++ b/tests/lab/scaling/test_capacity.py
@@ -44,7 +44,7 @@
     assert zone_lost.margin == pytest.approx(15.0 / zone_lost.value)
 
 
-def test_a_requirement_beyond_its_limit_names_no_mechanism(tmp_path: Path) -> None:
+def test_a_requirement_beyond_its_limit_has_no_mechanism(tmp_path: Path) -> None:
     for line in requirements(write_slopes(tmp_path / "s.json")).values():
         if line.role == "counter":
             assert line.margin is not None
--- a/tests/lab/scaling/test_slopes.py
+++ b/tests/lab/scaling/test_slopes.py
@@ -29,12 +29,10 @@
         for point in measured["points"]:
             assert 0 < point["min"] <= point["median"] <= point["max"]
     update = by_name["news of a watch: call and answer"]
-    assert update["fit"]["slope"] == pytest.approx(
-        snapshot["fit"]["slope"], rel=0.05
-    )  # a delta has one row per change
-    assert by_name["an idle watch: calls"]["points"][0]["median"] == pytest.approx(
-        0.25
-    )  # one long poll every 4 s
+    # A delta has one row per change.
+    assert update["fit"]["slope"] == pytest.approx(snapshot["fit"]["slope"], rel=0.05)
+    # An idle watch makes one long poll every 4 s.
+    assert by_name["an idle watch: calls"]["points"][0]["median"] == pytest.approx(0.25)
     empty = by_name["a gateway's process, nothing held"]
     resident = by_name["a gateway's process, most resident"]
     assert [point["count"] for point in resident["points"]] == [20, 200]
