--- a/quota_gateway/lab/load/quota_audit.py
+++ b/quota_gateway/lab/load/quota_audit.py
@@ -5,7 +5,7 @@
 bucket holds its units when its first attempt reaches a server, and then takes them. A request forwarded over
 quota takes nothing. A rejected request is within quota if the bucket holds its units when the rejection
 arrives. No gateway knows the current level of a bucket, so some rejections within quota are unavoidable;
-their number serves to compare gateways.
+their number is used to compare gateways.
 """
 
 from __future__ import annotations
--- a/quota_gateway/lab/load/report.py
+++ b/quota_gateway/lab/load/report.py
@@ -87,7 +87,7 @@
 
 
 def violation_lines(result: TrialResult) -> list[str]:
-    """Return one line for each violation; none after a trial that passed without late replies."""
+    """Return a line for each kind of violation, and one for late replies, which alone do not fail a trial."""
     lines = [f"lost: {count} ({reason})" for reason, count in sorted(result.losses.items())]
     counts = {
         "extra replies, for which no request was pending": result.extra_replies,
--- a/quota_gateway/lab/load/trial_result.py
+++ b/quota_gateway/lab/load/trial_result.py
@@ -55,7 +55,7 @@
     latency_ms: dict[str, Percentiles]  # latency by the value of `RequestOutcome`, see `RequestRecord`
     added_latency_ms: Percentiles = field(name="added_ms")  # latency of served requests minus time at servers
     client_overhead_ms: Percentiles | None = field(name="floor_ms")  # added latency without a gateway
-    send_delay_ms: Percentiles = field(name="pacing_ms")  # from the intended to the actual send time
+    send_delay_ms: Percentiles = field(name="pacing_ms")  # actual minus intended send time
     counter_calls: int
     counter_rejections: int = field(name="counter_turned_away")
     tool_cpu_s: float = field(name="tool_processor_s")  # CPU time of client and fakes during the load
--- a/quota_gateway/lab/scaling/scripted_gateway.py
+++ b/quota_gateway/lab/scaling/scripted_gateway.py
@@ -21,7 +21,7 @@
 DEADLINE_MS = 2500.0
 GATEWAYS_PER_CUSTOMER = 3
 
-# Slow start, attempts and counter timeout have the values of the simulator's default experiment.
+# Slow start, attempts, Retry-After and counter timeout have the default values of simulated gateways.
 SETTINGS = Settings(
     zone="z0",
     gateway_count=GATEWAY_COUNT,
--- a/tests/lab/cli/command_line.py
+++ b/tests/lab/cli/command_line.py
@@ -12,7 +12,7 @@
 
 ROOT = Path(__file__).resolve().parents[3]
 COMMAND = [sys.executable, "-c", "from quota_gateway.lab.cli.main import main; main()"]
-COMMAND_TIMEOUT_S = 60.0  # keeps a broken test from hanging; no test measures it
+COMMAND_TIMEOUT_S = 60.0  # keeps a broken test from hanging; no test expects it to elapse
 
 
 @dataclass(frozen=True, slots=True)
