--- a/quota_gateway/lab/scaling/measured_slopes.py
+++ b/quota_gateway/lab/scaling/measured_slopes.py
@@ -51,7 +51,7 @@
     slopes: list[MeasuredSlope]
 
 
-class SlopesRuns(msgspec.Struct):
+class MergedSlopesRuns(msgspec.Struct):
     """The results of several runs, merged into one file."""
 
     runs: list[SlopesRun]
@@ -101,7 +101,7 @@
     try:
         raw = msgspec.json.decode(path.read_bytes())
         if isinstance(raw, dict) and "runs" in raw:
-            runs = msgspec.convert(raw, SlopesRuns).runs
+            runs = msgspec.convert(raw, MergedSlopesRuns).runs
         else:
             runs = [msgspec.convert(raw, SlopesRun)]
     except (OSError, msgspec.DecodeError) as error:
--- a/quota_gateway/lab/simulation/counter.py
+++ b/quota_gateway/lab/simulation/counter.py
@@ -15,7 +15,8 @@
 MAX_TTL_MS = 60_000.0  # Longer TTLs are shortened to this.
 EXPIRY_SWEEP_MS = 10_000.0  # Interval at which expired keys are removed, which only frees memory.
 
-Reply = Callable[[CallOutcome, float], None]  # Called with the outcome and the key's total after the call.
+# Called with the outcome of a call and the key's total after it.
+ReplyCallback = Callable[[CallOutcome, float], None]
 
 
 @dataclass(slots=True)
@@ -97,7 +98,9 @@
         partitions = self._by_region.get(region) or self._all
         return partitions[key % len(partitions)]
 
-    def call(self, partition: Partition, key: int, amount: float, ttl_ms: float, reply: Reply) -> None:
+    def call(
+        self, partition: Partition, key: int, amount: float, ttl_ms: float, reply: ReplyCallback
+    ) -> None:
         """Accept a call; `reply` is called when the counter sends the answer, unless the call is lost."""
         now = self.scheduler.now
         if self.silent or (self.config.loss_share and self._rng.random() < self.config.loss_share):
@@ -116,7 +119,9 @@
         for _, partition in self._all:
             partition.entries.clear()
 
-    def _execute(self, partition: Partition, key: int, amount: float, ttl_ms: float, reply: Reply) -> None:
+    def _execute(
+        self, partition: Partition, key: int, amount: float, ttl_ms: float, reply: ReplyCallback
+    ) -> None:
         if self.silent:
             return
         total = partition.add(key, amount, ttl_ms, self.scheduler.now)
--- a/quota_gateway/lab/simulation/discovery.py
+++ b/quota_gateway/lab/simulation/discovery.py
@@ -11,7 +11,7 @@
 from quota_gateway.lab.simulation.random_streams import random_stream
 from quota_gateway.lab.simulation.scheduler import EventScheduler
 from quota_gateway.lab.simulation.wire_sizes import EMPTY_LIST_BYTES, HTTP_HEADER_BYTES, HTTP_REQUEST_BYTES
-from quota_gateway.network.discovery.poll_schedule import FIRST_LONG_POLL_S, LONG_POLL_S
+from quota_gateway.network.discovery.poll_schedule import CONFIRMATION_POLL_S, LONG_POLL_S
 from quota_gateway.policy_api.endpoints import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 
 RESPONSE_DELAY_MS = 0.5  # Time from the sending of a response to its arrival at the gateway.
@@ -133,7 +133,7 @@
             self._enqueue(watcher, call_id)
         else:
             self._parked[watcher.pool][watcher] = call_id
-            wait_s = LONG_POLL_S if watcher.responses else FIRST_LONG_POLL_S
+            wait_s = LONG_POLL_S if watcher.responses else CONFIRMATION_POLL_S
             self.scheduler.schedule_after(1000.0 * wait_s, self._expire, watcher, call_id)
 
     def forget(self, watcher: Watcher) -> None:
--- a/quota_gateway/network/discovery/poll_schedule.py
+++ b/quota_gateway/network/discovery/poll_schedule.py
@@ -28,7 +28,7 @@
 # the wait ends.
 LONG_POLL_S = 4.0
 # Shorter wait in the first poll and in a poll after a failure, so that its response soon confirms the list.
-FIRST_LONG_POLL_S = 0.1
+CONFIRMATION_POLL_S = 0.1
 # Time allowed for the response after the wait has ended; after that, discovery counts as silent.
 RESPONSE_GRACE_S = 1.0
 # Part of the time until the deadline that is reserved for the response to a poll.
@@ -127,7 +127,7 @@
 
     def long_poll_s(self) -> float:
         """Return how long discovery may hold the next poll open while nothing changes."""
-        return LONG_POLL_S if self.freshness is Freshness.CURRENT else FIRST_LONG_POLL_S
+        return LONG_POLL_S if self.freshness is Freshness.CURRENT else CONFIRMATION_POLL_S
 
     def response_timeout_s(self) -> float:
         """Return how long to wait for the response to the next poll.
--- a/quota_gateway/network/process.py
+++ b/quota_gateway/network/process.py
@@ -203,7 +203,7 @@
 def _pool_limits(network: NetworkSettings, max_connections: int) -> PoolLimits:
     return PoolLimits(
         connect_timeout_s=network.connect_timeout_ms / 1000.0,
-        idle_s=idle_limit_s(network.connection_idle_ms / 1000.0),
+        max_idle_s=idle_limit_s(network.connection_idle_ms / 1000.0),
         drain_grace_s=network.drain_grace_ms / 1000.0,
         max_connections=max_connections,
     )
--- a/quota_gateway/network/server_pool.py
+++ b/quota_gateway/network/server_pool.py
@@ -29,7 +29,7 @@
     """Limits that all pools share."""
 
     connect_timeout_s: float
-    idle_s: float  # connections idle for this long are closed instead of reused
+    max_idle_s: float  # connections idle for this long are closed instead of reused
     drain_grace_s: float  # time for which a draining server still accepts requests
     max_connections: int  # limit on the connections to all servers together
 
@@ -72,7 +72,7 @@
             del self.idle[index]
             if connection.transport is None or connection.transport.is_closing():
                 continue
-            expired = now - connection.idle_since >= self.owner.limits.idle_s
+            expired = now - connection.idle_since >= self.owner.limits.max_idle_s
             if not expired and not has_unread_bytes(connection.transport):
                 return connection
             connection.abort()
@@ -184,7 +184,7 @@
     def close_expired(self) -> None:
         """Close connections past the idle limit and drop empty retired pools; schedules its next run."""
         self.expiry_timer = self.loop.call_later(EXPIRY_INTERVAL_S, self.close_expired)
-        unused_since = self.loop.time() - self.limits.idle_s
+        unused_since = self.loop.time() - self.limits.max_idle_s
         for pool in self.pools.values():
             pool.close_idle(unused_since)
         self.retired = {pool for pool in self.retired if pool.connections}
--- a/tests/lab/fakes/test_loopback_server.py
+++ b/tests/lab/fakes/test_loopback_server.py
@@ -12,14 +12,14 @@
 def test_malformed_commands_end_a_connection() -> None:
     async def scenario(server: FakeServer, client: RespClient) -> None:
         client.writer.write(b"?\r\n")
-        assert await client.closed_by_gateway()
+        assert await client.closed_by_peer()
 
     run_with_connection(fake_server(INSTANT), scenario)
 
 
 def test_an_idle_connection_is_closed() -> None:
     async def scenario(server: FakeServer, client: RespClient) -> None:
-        assert await client.closed_by_gateway()
+        assert await client.closed_by_peer()
 
     run_with_connection(fake_server(ServerModel(idle_timeout_ms=20.0)), scenario)
 
--- a/tests/lab/load/harness.py
+++ b/tests/lab/load/harness.py
@@ -12,7 +12,7 @@
 from quota_gateway.lab.load.summary import LoadSummary
 from quota_gateway.settings import Idempotency
 from tests.network.scenario import run_scenario
-from tests.network.scripted_peers import Reply, ScriptedRespServer, always_reply
+from tests.network.scripted_peers import ReplyFunction, ScriptedRespServer, always_reply
 
 DEPLOYMENT = decode_deployment(gateway_settings(3))
 
@@ -39,7 +39,7 @@
 
 
 def run_load(
-    reply: Reply | None, schedule: list[ScheduledRequest], attempt_log: AttemptLog | None = None
+    reply: ReplyFunction | None, schedule: list[ScheduledRequest], attempt_log: AttemptLog | None = None
 ) -> LoadSummary:
     """Run a load on a scripted gateway; with `reply` None, the gateway does not listen."""
     summaries: list[LoadSummary] = []
--- a/tests/network/gateway_fixture.py
+++ b/tests/network/gateway_fixture.py
@@ -18,7 +18,7 @@
 from tests.network.samples import SETTINGS
 from tests.network.scenario import wait_until
 from tests.network.scripted_peers import (
-    Reply,
+    ReplyFunction,
     RespClient,
     ScriptedDiscovery,
     ScriptedPeer,
@@ -130,9 +130,9 @@
 
 @asynccontextmanager
 async def running_gateway(
-    *replies: Reply,
+    *replies: ReplyFunction,
     policy: Policy | None = None,
-    counter: Reply | None = None,
+    counter: ReplyFunction | None = None,
     discovery: ScriptedDiscovery | None = None,
     **changes: Any,
 ) -> AsyncIterator[RunningGateway]:
--- a/tests/network/scripted_peers.py
+++ b/tests/network/scripted_peers.py
@@ -55,7 +55,7 @@
 
 # A function that returns the encoded reply to a command, or None to send no reply. Its arguments are the
 # words of the command and the writer of the connection.
-Reply = Callable[[list[bytes], asyncio.StreamWriter], Awaitable[bytes | None]]
+ReplyFunction = Callable[[list[bytes], asyncio.StreamWriter], Awaitable[bytes | None]]
 
 
 class ScriptedRespServer(ScriptedPeer):
@@ -65,7 +65,7 @@
     Connections are numbered from 1.
     """
 
-    def __init__(self, reply: Reply) -> None:
+    def __init__(self, reply: ReplyFunction) -> None:
         super().__init__()
         self.reply = reply
         self.log: list[tuple[str, int, list[bytes]]] = []
@@ -86,7 +86,7 @@
         return [words for event, _, words in self.log if event == "command" and words != [b"PING"]]
 
 
-def always_reply(reply: bytes | None) -> Reply:
+def always_reply(reply: bytes | None) -> ReplyFunction:
     """Return a function that gives the same reply to every command."""
 
     async def constant_reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes | None:
@@ -95,7 +95,7 @@
     return constant_reply
 
 
-def reply_once_released(release: asyncio.Event) -> Reply:
+def reply_once_released(release: asyncio.Event) -> ReplyFunction:
     """Return a function that replies to every command with an OK response once `release` is set."""
 
     async def reply(words: list[bytes], writer: asyncio.StreamWriter) -> bytes:
@@ -176,8 +176,8 @@
         self.send(*words)
         return await self.read_reply()
 
-    async def closed_by_gateway(self) -> bool:
-        """Wait for the next bytes; return whether the gateway closed the connection without sending any."""
+    async def closed_by_peer(self) -> bool:
+        """Wait for the next bytes; return whether the peer closed the connection without sending any."""
         try:
             return not await self.reader.read(1)
         except ConnectionError:
--- a/tests/network/test_attempt.py
+++ b/tests/network/test_attempt.py
@@ -17,7 +17,7 @@
 from tests.network.gateway_fixture import ScriptedPolicy, forward_to, forwarding_policy, running_gateway
 from tests.network.samples import CHARGE_FIELDS, CUSTOMER, OK_RESPONSE, READ_FIELDS
 from tests.network.scenario import run_scenario, wait_until
-from tests.network.scripted_peers import Reply, always_reply
+from tests.network.scripted_peers import ReplyFunction, always_reply
 
 
 def test_no_request_is_written_on_a_connection_established_after_the_drain_grace() -> None:
@@ -80,7 +80,7 @@
     return None
 
 
-RESPONSES: list[tuple[Reply, CallOutcome]] = [
+RESPONSES: list[tuple[ReplyFunction, CallOutcome]] = [
     (always_reply(OK_RESPONSE), CallOutcome.OK),
     (always_reply(b"*3\r\n$0\r\n\r\n*-1\r\n$-1\r\n"), CallOutcome.OK),
     (always_reply(b"*3\r\n$1\r\nv\r\n*1\r\n:7\r\n:5\r\n"), CallOutcome.OK),
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize(("reply", "outcome"), RESPONSES)
-def test_each_response_completes_the_attempt_once(reply: Reply, outcome: CallOutcome) -> None:
+def test_each_response_completes_the_attempt_once(reply: ReplyFunction, outcome: CallOutcome) -> None:
     async def scenario() -> None:
         # Only the case of the silent server sets a timeout, so that a slow machine can't time out any other.
         script = ScriptedPolicy(forward_to("s0", 200.0 if outcome is CallOutcome.TIMEOUT else 0.0))
--- a/tests/network/test_listener.py
+++ b/tests/network/test_listener.py
@@ -21,10 +21,10 @@
             partial.writer.write(b"*2\r\n$4\r\nPI")
             assert await idle.execute(b"PING") == b"PONG"
             busy.send(b"CALL.GET", CUSTOMER, b"1", READ_FIELDS)
-            assert await silent.closed_by_gateway()
+            assert await silent.closed_by_peer()
             assert "did not come" in str(await partial.read_reply())
             assert await partial.read_reply() is None
-            assert await idle.closed_by_gateway()
+            assert await idle.closed_by_peer()
             assert len(gateway.bridge.in_flight) == 1  # the connection with a request in flight is not idle
 
     for name in ("FIRST_COMMAND_TIMEOUT_S", "PARTIAL_COMMAND_TIMEOUT_S"):
@@ -44,7 +44,7 @@
             await wait_until(lambda: len(gateway.listener.connections) == 2)
             third = await gateway.connect_client()
             assert await third.execute(b"PING") == b"PONG"
-            assert await silent.closed_by_gateway()
+            assert await silent.closed_by_peer()
             assert await active.execute(b"PING") == b"PONG"
 
     run_scenario(scenario())
@@ -61,7 +61,7 @@
             await wait_until(lambda: gateway.bridge.in_flight)
             third = await gateway.connect_client()
             assert await third.execute(b"PING") == b"PONG"
-            assert await idle.closed_by_gateway()
+            assert await idle.closed_by_peer()
             third.send(b"CALL.GET", CUSTOMER, b"2", READ_FIELDS)
             await wait_until(lambda: len(gateway.bridge.in_flight) == 2)
             fourth = await gateway.connect_client()
--- a/tests/network/test_poll_schedule.py
+++ b/tests/network/test_poll_schedule.py
@@ -5,8 +5,8 @@
 import pytest
 
 from quota_gateway.network.discovery.poll_schedule import (
+    CONFIRMATION_POLL_S,
     EMPTY_RESPONSE_PAUSE_S,
-    FIRST_LONG_POLL_S,
     LONG_POLL_S,
     MAX_BACKOFF_S,
     NOTIFICATION_DEADLINE_AFTER_RELOAD_S,
@@ -67,7 +67,7 @@
 
 def test_polls_are_long_while_the_list_is_current(clock: FakeClock) -> None:
     schedule = PollSchedule(clock)
-    assert schedule.long_poll_s() == FIRST_LONG_POLL_S
+    assert schedule.long_poll_s() == CONFIRMATION_POLL_S
     schedule.poll_succeeded(clock.now)
     assert schedule.long_poll_s() == LONG_POLL_S
     assert schedule.response_timeout_s() == LONG_POLL_S + RESPONSE_GRACE_S
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize(
     ("waited_s", "timeout_s"),
-    [(0.0, LONG_POLL_S + RESPONSE_GRACE_S), (3.0, 3.0), (5.5, FIRST_LONG_POLL_S + RESPONSE_GRACE_S)],
+    [(0.0, LONG_POLL_S + RESPONSE_GRACE_S), (3.0, 3.0), (5.5, CONFIRMATION_POLL_S + RESPONSE_GRACE_S)],
 )
 def test_the_timeout_of_an_agent_after_a_failure_is_the_time_left_until_the_deadline(
     clock: FakeClock, waited_s: float, timeout_s: float
--- a/tests/network/test_process.py
+++ b/tests/network/test_process.py
@@ -18,7 +18,7 @@
 from tests.network.samples import CUSTOMER, OK_RESPONSE, ORDER_FIELDS, READ_FIELDS
 from tests.network.scenario import run_scenario, wait_until
 from tests.network.scripted_peers import (
-    Reply,
+    ReplyFunction,
     RespClient,
     ScriptedDiscovery,
     ScriptedRespServer,
@@ -79,7 +79,7 @@
 
 @asynccontextmanager
 async def server_and_control_planes(
-    reply: Reply, *versions: int
+    reply: ReplyFunction, *versions: int
 ) -> AsyncIterator[tuple[ScriptedRespServer, list[ControlPlane]]]:
     """Run one server, and for each version a control plane that lists it."""
     server = ScriptedRespServer(reply)
@@ -125,7 +125,7 @@
             late_client.send(b"CALL.POST", CUSTOMER, b"2", ORDER_FIELDS)
             await wait_until(lambda: len(server.received_commands()) == 2)
             # The drain closes connections that are between requests.
-            assert await idle_client.closed_by_gateway()
+            assert await idle_client.closed_by_peer()
             release.set()
             assert [await early_client.read_reply(), await late_client.read_reply()] == [b"value", b"value"]
             assert await early_client.read_reply() is None
