--- a/quota_gateway/lab/fakes/faults.py
+++ b/quota_gateway/lab/fakes/faults.py
@@ -30,8 +30,8 @@
     PARTITION = "cut"  # the host is cut off from the network in both directions (no fake supports it yet)
 
 
-# The malformed replies of the simulator's faulty servers: noise, a line without a terminator, lengths that
-# do not match the data that follows, a negative array length, and a value announced as 3 GB.
+# The malformed replies that faulty servers send on the operators' test bench: noise, a line without a
+# terminator, lengths that do not match the data, a negative array length, and a value announced as 3 GB.
 MALFORMED_REPLIES = (
     b"\x00\xfe\x1f?!\r\n\r\n",
     b"-" + b"x" * 4096,
--- a/quota_gateway/lab/load/deployment.py
+++ b/quota_gateway/lab/load/deployment.py
@@ -1,7 +1,7 @@
 """The deployment of the demo and the load test, and the part of its settings that clients need.
 
-The keys of the settings are those of the simulator wire specification. The quotas are small enough for
-rejections to appear within seconds, and the servers can serve all requests that the quotas admit.
+The simulator wire specification defines the keys of the settings. The quotas are small enough for rejections
+to appear within seconds, and the servers can serve all requests that the quotas admit.
 """
 
 from __future__ import annotations
--- a/quota_gateway/lab/load/quota_audit.py
+++ b/quota_gateway/lab/load/quota_audit.py
@@ -1,11 +1,11 @@
 """An audit of how well the quotas were kept: a replay of the requests that were forwarded or rejected.
 
-The rules are those of the simulator wire specification for `packages`. A customer's token bucket starts full,
-holds `most_at_once` units and is refilled at `per_second` units/s. A forwarded request is within quota if the
-bucket holds its units when its first attempt reaches a server, and then takes them. A request forwarded over
-quota takes nothing. A rejected request is within quota if the bucket holds its units when the rejection
-arrives. No gateway knows the current level of a bucket, so some rejections within quota are unavoidable;
-their number is used to compare gateways.
+The simulator wire specification sets the rules for the quotas of the plans, which are listed under the key
+`packages` of the settings. A customer's token bucket starts full, holds `most_at_once` units and is refilled
+at `per_second` units/s. A forwarded request is within quota if the bucket holds its units when its first
+attempt reaches a server, and then takes them. A request forwarded over quota takes nothing. A rejected
+request is within quota if the bucket holds its units when the rejection arrives. No gateway knows the current
+level of a bucket, so some rejections within quota are unavoidable; their number is used to compare gateways.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from quota_gateway.lab.load.request_record import RequestOutcome, RequestRecord
 
 REJECTED_OUTCOMES = (RequestOutcome.REJECTED_WITH_RETRY_AFTER, RequestOutcome.REJECTED)
-# A rejection within quota counts as unnecessary if at least this share of the burst is unused. The capacity
-# target `refused_with_room_share` uses the same limit.
+# A rejection within quota counts as unnecessary if the bucket holds at least this share of the burst. The
+# operators' test bench uses the same limit for `refused_with_room_share`.
 UNUSED_BURST_SHARE = 0.5
 
 
--- a/quota_gateway/lab/simulation/metrics.py
+++ b/quota_gateway/lab/simulation/metrics.py
@@ -52,7 +52,7 @@
 
 
 class RuleViolation(StrEnum):
-    """Violations of the rules that the simulator wire specification and the capacity target set."""
+    """Violations of rules for gateways, set by the simulator wire specification and the capacity target."""
 
     # Attempts to a draining server after the grace period that follows the gateway's notice of the drain.
     LATE_AFTER_DRAIN_NOTICE = "late_drains_told"
@@ -132,8 +132,9 @@
 def overload_limit(budget: float) -> float:
     """Return the number of calls in the overload window above which a server that is warming up fails.
 
-    The limit for a budget of N calls is N + 2 sqrt(N) + 2, as the capacity target defines it. The excess over
-    N is a safety margin for random arrivals: two standard deviations of a Poisson process, and two calls.
+    The budget N is the number of calls that the server's capacity allows in one overload window. The capacity
+    target sets the limit at N + 2 sqrt(N) + 2: the budget, and a safety margin for random arrivals of two
+    standard deviations of a Poisson process and two calls.
     """
     deviation: float = budget**0.5
     return budget + 2.0 * deviation + 2.0
--- a/quota_gateway/network/counter_connection.py
+++ b/quota_gateway/network/counter_connection.py
@@ -24,7 +24,7 @@
 MIN_RECONNECT_DELAY_S = 0.05
 MAX_RECONNECT_DELAY_S = 1.0
 
-# Totals beyond this are rejected as malformed: a single amount is at most 1e9.
+# Totals beyond this are rejected as malformed. The protocol specification limits a single amount to 1e9.
 MAX_PLAUSIBLE_TOTAL = 1e12
 _TOTAL_PATTERN = re.compile(rb"-?[0-9]{1,15}(\.[0-9]{1,15})?(e[+-]?[0-9]{1,2})?")
 
--- a/quota_gateway/network/discovery/poll_schedule.py
+++ b/quota_gateway/network/discovery/poll_schedule.py
@@ -24,17 +24,18 @@
 # Deadline after a SIGHUP that has changed discovery's address, set by the deployment specification.
 NOTIFICATION_DEADLINE_AFTER_RELOAD_S = 4.0
 
-# Longest wait for a change in one poll. A change during the wait counts as notified at the latest 2 s after
-# the wait ends.
+# Longest wait for a change in one poll. By the protocol specification, a change that a silent long poll
+# misses counts as notified 6 s after the poll fell silent, or 2 s after the end of its wait if that is later.
+# With a wait of 4 s the two are the same moment.
 LONG_POLL_S = 4.0
-# Shorter wait in the first poll and in a poll after a failure, so that its response soon confirms the list.
+# Wait in the first poll and in a poll after a failure: short, so that its response soon confirms the list.
 CONFIRMATION_POLL_S = 0.1
 # Time allowed for the response after the wait has ended; after that, discovery counts as silent.
 RESPONSE_GRACE_S = 1.0
 # Part of the time until the deadline that is reserved for the response to a poll.
 RESPONSE_RESERVE_S = 0.5
-# Pause after an empty response that arrives in less than this time, against polling in a busy loop. A watch
-# lasts over 0.2 s.
+# Pause after an empty response that arrives in less than this time, to avoid polling in a busy loop. The
+# pause does not end the watch: discovery continues it if the next poll comes within 200 ms of the response.
 EMPTY_RESPONSE_PAUSE_S = 0.1
 
 # Mean delay before reconnecting. An agent runs on this machine: the changes it holds count as notified even
--- a/tests/lab/simulation/test_servers.py
+++ b/tests/lab/simulation/test_servers.py
@@ -1,4 +1,4 @@
-"""Simulated servers follow the rules of the simulator wire specification for real ones."""
+"""Simulated servers behave as the simulator wire specification says that servers do."""
 
 from __future__ import annotations
 
--- a/tests/lab/simulation/test_tenants.py
+++ b/tests/lab/simulation/test_tenants.py
@@ -25,7 +25,7 @@
     assert len(tenants) == pytest.approx(2000 * sampled_share, abs=4)
     assert sum(tenant.demand_per_s for tenant in tenants) == pytest.approx(1000.0 * sampled_share, rel=0.05)
     utilizations = [tenant.demand_per_s * mean_units(8) / tenant.plan.rate for tenant in tenants]
-    # The specified share of tenants over their quota is 8 to 13 %.
+    # With the default Zipf exponent, about one tenant in twelve is over its quota.
     assert 0.04 < sum(utilization > 1.0 for utilization in utilizations) / len(utilizations) < 0.12
     assert max(utilizations) <= 8.001
     for plan in (plan_tenants.plan for plan_tenants in plans):
