--- a/tests/lab/simulation/test_discovery.py
+++ b/tests/lab/simulation/test_discovery.py
@@ -65,9 +65,8 @@
 def test_an_idle_watch_makes_one_call_per_long_poll() -> None:
     watches = Watches()
     watches.run(1000.0 * (10 * LONG_POLL_S + 1.0))
-    assert (
-        watches.metrics.messages["discovery"]["calls"] == 12
-    )  # The first poll waits only `CONFIRMATION_POLL_S`.
+    # The first of the polls waits only `CONFIRMATION_POLL_S`.
+    assert watches.metrics.messages["discovery"]["calls"] == 12
     assert "whole_lists" not in watches.metrics.messages["discovery"]
 
 
