--- a/quota_gateway/policy/capacity.py
+++ b/quota_gateway/policy/capacity.py
@@ -1,7 +1,7 @@
 """Capacity of the back end: an estimate from the responses seen here, and admission by priority within it.
 
-Servers do not report their capacity. Two signals stand for it: the durations of responses relative to their
-latency objectives, and this gateway's work in flight relative to the pace at which work completes.
+Servers do not report their capacity. It is inferred from two signals: the durations of responses relative to
+their latency objectives, and this gateway's work in flight relative to the pace at which work completes.
 
 Admission is greedy, in descending order of priority, which is the weight of the request class times the
 price of the plan.
@@ -13,7 +13,8 @@
 from quota_gateway.policy_api.events import AttemptCompleted, CallOutcome
 from quota_gateway.policy_state.requests import Attempt, PendingRequest
 
-# A window of the estimate ends after MIN_WINDOW_S if it has MIN_RESPONSES, else after MAX_WINDOW_S.
+# A window of the estimate lasts at least MIN_WINDOW_S. It then ends once it has MIN_RESPONSES, or after
+# MAX_WINDOW_S without them.
 MIN_WINDOW_S = 1.0
 MAX_WINDOW_S = 4.0
 MIN_RESPONSES = 8
@@ -39,15 +40,16 @@
     """Estimates the capacity for this gateway's requests, and admits them by priority within it."""
 
     def __init__(self) -> None:
-        self.capacity = math.inf  # quota units a second; infinite while nothing limits it
-        self.demand: dict[float, float] = {}  # moving average, units a second; keys are priorities
-        # Sum of admitted shares, which turns fractions of requests into whole ones. Keys are priorities.
+        self.capacity = math.inf  # quota units per second; infinite while nothing limits it
+        self.demand: dict[float, float] = {}  # moving average, units per second; keys are priorities
+        # Credit in units; keys are priorities. Each request adds the admitted share of its units, and each
+        # admitted request takes its units, so that this share of the requests is admitted.
         self.credit: dict[float, float] = {}
         self._window_start_ms: float | None = None
         self._window_demand: dict[float, float] = {}  # demand of the present window, units
         self._latency_ratios: list[float] = []  # one for each response in the present window
         self._in_flight_ms = 0.0  # work in flight, as the sum of mean service times
-        self._pace = 0.0  # moving average of completed work, ms of mean service time a second
+        self._pace = 0.0  # moving average of completed work, ms of mean service time per second
         self._peak_pace = 0.0  # decaying peak of the pace
         self._completed_at_ms = 0.0  # last success
         self._first_completed_at_ms = math.inf  # first success
@@ -57,7 +59,7 @@
         self._in_flight_ms += attempt.work_ms
 
     def attempt_completed(self, now_ms: float, attempt: Attempt, event: AttemptCompleted) -> None:
-        """Update the work in flight, the pace and the latency ratios by the outcome of an attempt."""
+        """Update the work in flight, the pace and the latency ratios from the outcome of an attempt."""
         self._in_flight_ms = max(0.0, self._in_flight_ms - attempt.work_ms)
         if event.outcome is CallOutcome.OK:
             elapsed_s = (now_ms - self._completed_at_ms) / 1000.0
@@ -99,6 +101,7 @@
         change_factor = 1.0 + TARGET_LATENCY_RATIO - latency_ratio
         self.capacity *= min(MAX_CHANGE_FACTOR, max(MIN_CHANGE_FACTOR, change_factor))
 
+        # The fewer responses a window has, the less its demand counts.
         weight = min(1.0, len(self._latency_ratios) / (2.0 * MIN_RESPONSES))
         for priority in dict.fromkeys([*self.demand, *self._window_demand]):
             rate = self._window_demand.pop(priority, 0.0) / elapsed_s
@@ -120,7 +123,7 @@
         higher_demand = sum(rate for key, rate in self.demand.items() if key > priority)
         if enough_in_flight and self._peak_pace > 0:
             # A surge fills the queues of the servers long before late responses show it. The work in flight
-            # predicts the delay of a new response. Low priorities have the lower bound and give way first.
+            # predicts the delay of a new response. Low priorities have a lower bound and are rejected first.
             delay_ms = self._in_flight_ms / self._peak_pace * 1000.0
             rank = higher_demand / max(sum(self.demand.values()), 1e-9)  # 0 for the highest priority
             max_delay_share = MAX_DELAY_SHARE - LOW_PRIORITY_DELAY_CUT * rank
--- a/quota_gateway/policy/counter_health.py
+++ b/quota_gateway/policy/counter_health.py
@@ -4,13 +4,15 @@
 
 UNAVAILABLE_AFTER_FAILURES = 3  # consecutive failed calls after which the counter counts as unavailable
 
-MIN_CALL_SHARE = 0.1  # lower bound of the share of the wanted calls that is made
-# Factors by which each reply or failure changes that share. A slow reply lowers it, because slow replies
+# Lower bound of the call share. The call share is the part of the wanted calls that is made; the others are
+# left out to relieve the counter.
+MIN_CALL_SHARE = 0.1
+# Factors by which each reply or failure changes the call share. A slow reply lowers it, because slow replies
 # show an overload of the counter before calls fail.
 FAILURE_FACTOR = 0.8
 SLOW_REPLY_FACTOR = 0.92
 FAST_REPLY_FACTOR = 1.02
-FAST_REPLY_TIMEOUT_SHARE = 0.5  # share of the counter time-out within which a reply is fast
+FAST_REPLY_TIMEOUT_SHARE = 0.5  # share of the counter timeout within which a reply is fast
 
 PROBE_INTERVAL_MS = 500.0  # minimum time between two probes by one gateway
 PROBE_SPACING_MS = 5.0  # minimum mean time between two probes by any of the gateways
@@ -37,7 +39,7 @@
             self.next_probe_ms = now_ms + max(PROBE_INTERVAL_MS, spacing_ms)
 
     def record_reply(self, duration_ms: float) -> None:
-        """Record a reply that arrived before the time-out, `duration_ms` after its call."""
+        """Record a reply that arrived before the timeout, `duration_ms` after its call."""
         self._consecutive_failures = 0
         fast = duration_ms < FAST_REPLY_TIMEOUT_SHARE * self._settings.counter_timeout_ms
         factor = FAST_REPLY_FACTOR if fast else SLOW_REPLY_FACTOR
--- a/quota_gateway/policy/counter_sync.py
+++ b/quota_gateway/policy/counter_sync.py
@@ -28,12 +28,12 @@
 # Share of the available quota. If the unreported usage of all gateways may exceed it, a call is urgent.
 URGENT_USAGE_SHARE = 0.5
 
-# Share of the burst that a bucket is taken to hold when its accounting window begins. It is a constant
-# because not all gateways know the level, and all have to start from the same one.
-INITIAL_LEVEL_SHARE = 0.5
+# Share of the burst that is taken to be missing from a bucket when its accounting window begins. It is a
+# constant because not all gateways know the level, and all must start from the same one.
+INITIAL_DEFICIT_SHARE = 0.5
 # Share of the burst by which a total may lag behind that of a full bucket without being corrected.
 DRIFT_TOLERANCE_SHARE = 0.25
-# Time to live of a correction lease, in counter time-outs. The correction has reached all gateways by then.
+# Time to live of a correction lease, in counter timeouts. The correction has reached all gateways by then.
 LEASE_TTL_TIMEOUTS = 4.0
 TOTAL_TOLERANCE_UNITS = 0.5  # tolerance when a total is compared with its parts, whose amounts are rounded
 # Time added to the interval over which a total rose. Without it, two replies at nearly the same moment
@@ -44,7 +44,7 @@
 
 
 class CounterSync:
-    """Reports usage to the shared counter, and sets the customers' buckets by the totals in its replies."""
+    """Reports usage to the shared counter, and sets the customers' buckets from the totals in its replies."""
 
     def __init__(self, settings: Settings, rng: random.Random, quota: QuotaAdmission) -> None:
         self.rng = rng
@@ -67,7 +67,7 @@
         self._quota.refill(now_ms, customer, self.health.available)
 
     def needs_reply(self, now_ms: float, customer: Customer, units: float) -> bool:
-        """Whether a request has to wait for a counter reply, as other gateways may have used up the quota."""
+        """Whether a request must wait for a counter reply, as other gateways may have used up the quota."""
         available = self._quota.available(customer)
         if not self.health.available or available == math.inf or customer.pending_calls:
             return False
@@ -91,9 +91,10 @@
         return [self._report(now_ms, UsageCall(customer, request.units / share, request.request_id))]
 
     def refund(self, now_ms: float, customer: Customer, units: float) -> list[Action]:
-        """Subtract a rejected request from the total, to which its call has added it.
+        """Subtract a request that gets no attempt from the total, to which its call has added it.
 
-        The refund is reported at once, because there may be no later request whose call could carry it.
+        It was rejected, or its client left before the reply. The refund is reported at once, because there
+        may be no later request whose call could carry it.
         """
         self.refresh(now_ms, customer)
         customer.unreported_usage -= units / self.health.call_share
@@ -106,7 +107,7 @@
             self.unreported[customer.key] = customer
 
     def report_usage(self, now_ms: float, customer: Customer) -> list[Action]:
-        """Report a customer's usage if its call interval is over; an emptier bucket has a shorter one."""
+        """Report a customer's usage if its call interval is over. It is shorter for an emptier bucket."""
         self.refresh(now_ms, customer)
         if customer.unreported_usage <= 0:
             self.unreported.pop(customer.key, None)
@@ -165,6 +166,7 @@
         customer.reported_usage = 0.0
         customer.in_flight_usage = 0.0
         customer.max_bucket_level = customer.plan.burst
+        # A refund that is due belongs to the total of the window that has ended.
         customer.unreported_usage = max(0.0, customer.unreported_usage)
         customer.pending_calls = 0
         customer.lease_requested = False
@@ -184,11 +186,13 @@
         return IncrementCounter(customer.counter_key, call.amount, CUSTOMER_IDLE_MS)
 
     def _reconcile(self, now_ms: float, call: UsageCall, total: float) -> list[Action]:
-        """Update the remote usage by the rise of the total, and the level of the bucket by the total."""
+        """Update the remote usage from the rise of the total, and the level of the bucket from the total."""
         customer = call.customer
         customer.reported_usage += call.amount - call.correction
+        # The rise of the total since the last reply, less what this gateway reported.
         rise = total - customer.counter_total - call.correction - customer.reported_usage
-        # Usage never falls, so a falling total means that the counter lost it. The estimates then stay.
+        # A total that falls is taken for one that the counter has lost, and the estimates stay as they are.
+        # Refunds and corrections by other gateways can make a total fall too.
         total_lost = rise < -TOTAL_TOLERANCE_UNITS
         if not total_lost:
             since_ms = max(customer.replied_at_ms, customer.window_start_ms)
@@ -206,12 +210,12 @@
         return self._set_level(now_ms, call, total, total_lost) if customer.plan.rate else []
 
     def _set_level(self, now_ms: float, call: UsageCall, total: float, total_lost: bool) -> list[Action]:
-        """Set the level of the bucket by the total, and request the correction lease if it has drifted."""
+        """Set the level of the bucket from the total; request the correction lease if that has drifted."""
         customer = call.customer
         burst = customer.plan.burst
         refilled = customer.plan.rate * (now_ms - customer.window_start_ms) / 1000.0
         # The units that are missing from a full bucket according to the total.
-        counted = total + INITIAL_LEVEL_SHARE * burst - refilled - call.requested
+        counted = total + INITIAL_DEFICIT_SHARE * burst - refilled - call.requested
         # The total does not include these amounts yet.
         counted = counted + customer.in_flight_usage + customer.unreported_usage
         # A total that lags behind a full bucket does not show that nothing was spent. What this gateway has
@@ -235,7 +239,7 @@
 
     def _request_lease(self, customer: Customer, correction: float) -> IncrementCounter:
         """Return the call for the lease to add `correction` units to a customer's total."""
-        # Gateways of all versions share the counter and have to form the same key.
+        # Gateways of all versions share the counter and must form the same key.
         key = stable_hash(f"{customer.key}/{customer.window_start_ms:.0f}/mend")
         call = LeaseCall(customer, customer.window_start_ms, correction)
         self._pending_calls.setdefault(key, deque()).append(call)
@@ -257,6 +261,7 @@
 def _remote_units(now_ms: float, call: UsageCall, rise: float, elapsed_s: float) -> float:
     """Return how many units of a rise of the total the other gateways have used.
 
+    `rise` does not include what this gateway reported; `elapsed_s` is the time over which it came about.
     If the previous total lagged far behind that of a full bucket, another gateway may have corrected it, and
     the rise includes the correction. In that case the rise counts as usage only up to the largest of: the
     last known remote usage, the rate of the plan, and the part of the rise beyond the lag.
@@ -264,7 +269,7 @@
     customer = call.customer
     plan = customer.plan
     refilled = plan.rate * (now_ms - customer.window_start_ms) / 1000.0
-    full_bucket_total = refilled - INITIAL_LEVEL_SHARE * plan.burst
+    full_bucket_total = refilled - INITIAL_DEFICIT_SHARE * plan.burst
     lag = full_bucket_total - customer.counter_total - call.correction - customer.reported_usage
     if not plan.rate or lag <= DRIFT_TOLERANCE_SHARE * plan.burst:
         return rise
--- a/quota_gateway/policy/endpoints.py
+++ b/quota_gateway/policy/endpoints.py
@@ -2,8 +2,8 @@
 
 In a large fleet each gateway uses only a subset of the servers. This keeps the number of connections low, and
 the gateway sends enough requests to each server of the subset to learn its latency and failures. Requests,
-changes of the list and ticks look only at the subset, a sample of the remaining endpoints and the changed
-endpoints, so their cost does not grow with the length of the list.
+deltas and ticks look only at the subset, a sample of the remaining endpoints and the changed endpoints, so
+their cost hardly grows with the length of the list.
 """
 
 import heapq
--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -17,9 +17,10 @@
 from quota_gateway.policy_state.requests import Attempt, PendingRequest, ReplyState
 from quota_gateway.settings import Idempotency, RequestClass, Settings
 
-# Interval at which the capacity estimate, the counter reports and the queued requests are updated.
+# Interval between ticks. A tick updates the capacity estimate, reports usage to the counter and tries
+# again to start attempts for the queued requests.
 TICK_MS = 250.0
-# Longest wait of a request for a server, as a share of its latency objective.
+# Age up to which a request may be queued for a server, as a share of its latency objective.
 MAX_QUEUED_SHARE = 0.3
 # Attempts in flight above which a gateway counts as busy. With fewer attempts, its work in flight says
 # nothing about the load of the fleet.
@@ -30,9 +31,9 @@
 ATTEMPT_DURATION_WEIGHT = 0.02
 # Minimum time between two log events of one state, which may begin and end in quick succession.
 MIN_LOG_INTERVAL_MS = 5000.0
-# Operators are notified while counter calls are throttled below this share of the wanted calls.
+# Throttling is logged as a state while less than this share of the wanted counter calls is made.
 LOGGED_CALL_SHARE = 0.5
-# Operators are notified while the failure score of the median server is above this.
+# Failures of the whole fleet are logged as a state while the median failure score is above this.
 LOGGED_BASELINE_SCORE = 0.2
 
 
@@ -53,8 +54,8 @@
         # Requests whose client left before the counter replied, by request id.
         self.abandoned: dict[str, PendingRequest] = {}
         self._classes = {request_class.name: request_class for request_class in settings.classes}
-        self._logged_states: set[str] = set()  # log events whose state was last logged as begun
-        self._logged_at_ms: dict[str, float] = {}  # time of the last log event, by event name
+        self._logged_states: set[str] = set()  # names of the states last logged as begun
+        self._logged_at_ms: dict[str, float] = {}  # time of the last log event, by name of the state
         self._actions: list[actions.Action] = []  # the result of handling the current event
 
     def handle(self, now_ms: float, event: events.Event) -> list[actions.Action]:
@@ -84,7 +85,7 @@
         return self._actions
 
     def tick(self, now_ms: float) -> None:
-        """Update the capacity estimate, logs, counter reports and queued requests; set the next timer."""
+        """Run the periodic work: capacity estimate, logs, counter reports, queued requests, next timer."""
         self._actions.append(actions.SetTimer(0, now_ms + TICK_MS))
         self.capacity.end_window(now_ms, self.attempts.values())
         self._log_states(now_ms)
@@ -104,15 +105,17 @@
             "capacity_limited": self.capacity.capacity < math.inf,
             "no_endpoints": not balancer.endpoints.servers,
             "fleet_failing": balancer.outliers.baseline > LOGGED_BASELINE_SCORE,
+            # This call also updates the baseline above, whose state is therefore that of the previous tick.
             "outliers_ejected": ", ".join(balancer.outliers.detect(now_ms)),
         }
         for event, state in states.items():
             self._log_state_transition(now_ms, event, state)
 
     def _log_state_transition(self, now_ms: float, event: str, state: bool | str) -> None:
-        """Log that a state began or ended; a text as the state lists the servers concerned.
+        """Log that a state has begun or ended, at most once per change and per `MIN_LOG_INTERVAL_MS`.
 
-        Empty text and False stand for a state that does not hold.
+        `state` says whether the state holds. If it is a text, it lists the servers concerned; an empty text
+        means that the state does not hold.
         """
         logged_recently = now_ms - self._logged_at_ms.get(event, -math.inf) < MIN_LOG_INTERVAL_MS
         if logged_recently or bool(state) == (event in self._logged_states):
@@ -125,7 +128,7 @@
         self._actions.append(actions.LogEvent(event, tuple(fields)))
 
     def _on_request(self, now_ms: float, request: events.Request) -> None:
-        """Accept a new request; it may have to wait for a counter reply before it is admitted."""
+        """Accept a new request. It may wait for a counter reply before it is admitted or rejected."""
         time_left_ms = request.time_left_ms
         request_class = self._classes.get(request.class_name)
         if request_class is None:  # an unknown class counts as non-idempotent: it must not run twice
@@ -192,8 +195,8 @@
             # The units are charged at admission, before any attempt, so that queued requests can't exceed
             # a limit together.
             self.quota.charge(customer, units, known_reply)
-            # In the other states the units are already reported: by the call of this request or, while calls
-            # are throttled, by the scaled-up call of another request.
+            # In the other states a call has carried the units: the call of this request or, while calls are
+            # throttled, the scaled-up call of another one. If that call fails, they are not reported again.
             if reply is ReplyState.NOT_NEEDED:
                 self.counter_sync.record_usage(customer, units)
             self._actions += self.counter_sync.report_usage(now_ms, customer)
@@ -205,7 +208,8 @@
         if server is None:
             max_wait_ms = MAX_QUEUED_SHARE * pending.request_class.latency_objective_ms
             if now_ms - pending.received_at_ms < max_wait_ms and now_ms < pending.deadline_ms - 2 * TICK_MS:
-                # A server may come up or a slow-start slot may open in time.
+                # A server may come up or a slow-start slot may open in time. The queue is retried at
+                # each tick, so two ticks before the deadline are enough to answer in time.
                 self.queued.append(pending.request_id)
             else:
                 self._finish_unserved(pending)
@@ -234,7 +238,7 @@
                 continue
             if pending.may_have_run_at_ms is None or self.retries.may_retry(now_ms, pending):
                 self._start_attempt(now_ms, pending)
-            else:  # the deduplication window may have ended: servers no longer know the idempotency key
+            else:  # for example after the deduplication window: servers no longer know the idempotency key
                 self._finish_unserved(pending)
 
     def _on_attempt_completed(self, now_ms: float, event: events.AttemptCompleted) -> None:
--- a/quota_gateway/policy/load_balancing.py
+++ b/quota_gateway/policy/load_balancing.py
@@ -17,15 +17,16 @@
 from quota_gateway.policy_state.servers import Candidate, Server
 from quota_gateway.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-# Cost of a failure score of 1 above the baseline: a server that fails fast must not attract requests.
+# Added cost of a failure score that exceeds the baseline by 1: a server that fails fast must not attract
+# requests.
 FAILURE_COST = 20.0
-# Cost of a server that the request was already sent to.
+# Added cost of a server that the request was already sent to.
 REPEAT_COST = 10.0
-# Cost of a server outside the subset: it may need a new connection, and less is known about it.
+# Added cost of a server outside the subset: it may need a new connection, and less is known about it.
 OUTSIDE_SUBSET_COST = 2.0
 # Weight of a request in a server's reported queue; an attempt of this gateway in flight has weight 1.
 REPORTED_QUEUE_WEIGHT = 0.5
-# Weight of the configured cross-zone price in the cost factor of servers in other zones.
+# Weight of the setting `cross_zone_cost` in the cost factor of servers in other zones.
 CROSS_ZONE_WEIGHT = 10.0
 # Cost factor of a warming server with an open slow-start slot: it is preferred to similar warm servers.
 WARMING_COST_FACTOR = 0.8
@@ -73,6 +74,7 @@
         """Return the server for the next attempt of a request; None if no server can be used now."""
         group = _affinity_group(pending)
         best = self._cheapest(now_ms, pending, group, self.endpoints.subset.values())
+        # Servers outside the subset are considered if they may be cheaper: each costs about this or more.
         if best.cost > OUTSIDE_SUBSET_COST:
             self.endpoints.remaining.add_warmed(now_ms, self.endpoints.servers)
             sample = self.endpoints.remaining.sample(self._rng, group)
@@ -98,6 +100,7 @@
         if event.outcome in (CallOutcome.NOT_SENT, CallOutcome.CANCELLED):
             return
         if event.outcome is not CallOutcome.TIMEOUT or not server.in_flight:
+            # A timeout is not a response: with other attempts in flight, the server stays unanswered.
             server.unanswered_since_ms = now_ms if server.in_flight else None
         request_class = attempt.pending.request_class
         units = attempt.pending.units
@@ -132,8 +135,8 @@
             if factor < 1.0 and not self.slow_start.admits(now_ms, server, factor, units):
                 continue
             # The warm-up factor does not raise the cost of a server that is warming up; only slots limit its
-            # load. Warm servers that other gateways keep busy look idle to a gateway with few requests, so
-            # that a warming server with a raised cost would get none of them.
+            # load. Warm servers look idle to a gateway with few requests, even if other gateways keep them
+            # busy. A warming server with a raised cost would then get no requests from this gateway.
             cost = self._expected_delay(server, now_ms, mean_ms)
             if endpoint.server_id in pending.tried_servers:
                 cost += REPEAT_COST
--- a/quota_gateway/policy/outliers.py
+++ b/quota_gateway/policy/outliers.py
@@ -39,7 +39,7 @@
         self.baseline = 0.0  # failure score of the median server of the subset
 
     def record(self, now_ms: float, server: Server, outcome: CallOutcome) -> None:
-        """Update the failure score of a server by the outcome of an attempt."""
+        """Update the failure score of a server from the outcome of an attempt."""
         score = current_failure_score(server, now_ms)
         if outcome is CallOutcome.OK:
             server.failure_score = score * SUCCESS_FACTOR
--- a/quota_gateway/policy/quota.py
+++ b/quota_gateway/policy/quota.py
@@ -1,7 +1,8 @@
 """Quotas: the token buckets of each customer (see `Customer`), and which of its requests they admit.
 
-A customer is entitled to its plan's rate and to what its token bucket holds. Every gateway admits the same
-share of its own demand at once, and rejects the rest with the time after which a retry may succeed.
+A customer is entitled to its plan's rate and to what its token bucket holds. If the demand is higher, every
+gateway admits the same share of its own demand and rejects the rest, with the time after which a retry may
+succeed. Requests are not held back until there is quota for them.
 `capacity` then decides whether the back end can serve what the quotas admit.
 """
 
@@ -14,10 +15,11 @@
 from quota_gateway.policy_state.requests import ReplyState
 from quota_gateway.settings import Plan, Settings
 
-# Time without requests after which a customer's state expires, here and on the counter.
+# Time without requests after which a gateway forgets a customer. It is also the time to live of usage keys on
+# the counter and the length of the accounting windows of plans with a rate.
 CUSTOMER_IDLE_MS = 60_000.0
 DEMAND_WINDOW_S = 1.0  # time constant of the moving averages of demand and usage
-BUCKET_SPEND_S = 0.4  # time over which the level of a bucket is spread when it is compared with demand
+BUCKET_SPEND_S = 0.4  # time in which the level of a bucket may be spent; it turns the level into a rate
 MAX_CREDIT_REQUESTS = 2.0  # upper bound of the admission credit, in requests of the size to be admitted
 
 # Share of an in-flight limit that the mean load may use. The rest is a safety margin, because attempts
@@ -30,16 +32,17 @@
 
 # Weight of the prior that all gateways use a quota equally, in requests of observed usage.
 EQUAL_SHARE_PRIOR_REQUESTS = 4.0
-# Minimum burst of a local bucket, in requests, however many gateways share the quota.
+# Minimum capacity of a local bucket, in requests of the customer's largest size, however many gateways share
+# the quota.
 MIN_LOCAL_BURST_REQUESTS = 2.0
 # Age of the last counter reply up to which the remote usage is taken to continue. It decays after that.
 REMOTE_USAGE_FRESH_S = 1.5
 RESERVED_BURST_SHARE = 0.5  # share of the burst that is reserved for requests with a counter reply
-ROOM_SHARE_WEIGHT = 0.1  # weight of a new request in the moving share of requests that found room
+ROOM_SHARE_WEIGHT = 0.1  # weight of a new request in the moving shares of requests with room
 
 
 class QuotaAdmission:
-    """Holds the customers with their buckets, and admits or rejects requests by them."""
+    """Holds the customers with their buckets, and decides from these which requests are admitted."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self.rng = rng
@@ -84,10 +87,12 @@
         customer.bucket_level = min(plan.burst, customer.bucket_level - drained + refilled)
 
         share = _local_share(customer)
-        # A plan without a rate is refilled at the rate at which its attempts in flight complete.
+        # A plan without a rate is refilled at the rate at which attempts complete while the usable part of
+        # its in-flight limit is in use (Little's law).
         rate = plan.rate or MAX_IN_FLIGHT_UTILIZATION * plan.max_in_flight / self.mean_in_flight_s
         local_rate = rate * share
         local_level = customer.local_bucket_level
+        # The capacity falls with the share. A level above the new capacity stays until it is spent.
         max_local_level = max(local_level, _local_burst(customer, share))
         customer.local_bucket_level = min(max_local_level, local_level + local_rate * elapsed_s)
 
@@ -154,8 +159,8 @@
     def _new_customer(self, now_ms: float, key: str, plan: Plan, gateway_count: int) -> Customer:
         # A restart of the gateways does not reset the hard limit. While quotas are enforced, the hard limit
         # has at least the difference of the two bursts to spare, because it refills faster than the quota.
-        # A gateway starts with half of that and the slack, so that all gateways can restart at once, and
-        # once more before the hard limit has refilled.
+        # All gateways together start with half of that and the slack, so that they can restart at once, and
+        # once more before the hard limit has refilled. The refill since the start of this gateway is added.
         spare = 0.5 * max(0.0, plan.hard_limit_burst - plan.burst) if plan.burst else 0.0
         spare += plan.hard_limit_slack + plan.hard_limit_rate * (now_ms - self.started_at_ms) / 1000.0
         spare = min(plan.hard_limit_burst * (1.0 - COUNTER_HARD_LIMIT_SHARE), spare)
@@ -172,8 +177,9 @@
         usable_level = customer.bucket_level
         if reply in (ReplyState.MISSING, ReplyState.UNAVAILABLE):
             # Without a reply the local bucket limits a gateway; otherwise each one could spend the whole
-            # quota. While the last reply is no older than the time in which an empty bucket refills, a
-            # request may also use the level, less a reserve for requests with a reply.
+            # quota. While the counter is available and the last reply is no older than the time in which an
+            # empty bucket refills, a request may also use the level, less a reserve for requests with a
+            # reply.
             reply_is_recent = now_ms - customer.replied_at_ms < 1000.0 * plan.burst / plan.rate
             uses_last_reply = reply_is_recent and reply is ReplyState.MISSING
             unreserved = usable_level - RESERVED_BURST_SHARE * plan.burst if uses_last_reply else 0.0
@@ -212,7 +218,7 @@
 
 
 def _expected_remote_usage(customer: Customer) -> float:
-    """Return the remote usage to expect until the next counter reply, in units a second.
+    """Return the remote usage to expect until the next counter reply, in units per second.
 
     It decays with the age of the last reply: a gateway that rejects all requests of a customer has no usage
     to report, and so may get no reply from which it would learn that the remote usage has ended.
--- a/quota_gateway/policy/retries.py
+++ b/quota_gateway/policy/retries.py
@@ -16,11 +16,12 @@
 MIN_TIMEOUT_SHARE = 0.5
 # Longest timeout, as a share of the latency objective: after a longer one, a retry would come too late.
 MAX_TIMEOUT_SHARE = 0.75
-# Shortest timeout in mean durations of such requests; it grows while responses are slower than their means.
+# Shortest timeout in mean durations of the same kind of request. It grows while responses are slower than
+# their means.
 MIN_TIMEOUT_MEANS = 5.0
-# Time that must remain for a retry to be useful, in mean durations of such requests.
+# Time that must remain for a retry to be useful, in mean durations of the same kind of request.
 MIN_RETRY_MEANS = 0.5
-# Time before the end of the deduplication window that is reserved for the way of a retry to the server.
+# Time before the end of the deduplication window that is reserved for the transit of a retry to the server.
 DEDUPLICATION_MARGIN_MS = 5.0
 
 
@@ -67,8 +68,9 @@
     def attempt_timeout_ms(self, now_ms: float, pending: PendingRequest, mean_ms: float) -> float:
         """Return the timeout of the next attempt.
 
-        0 means no timeout before the deadline: no retry could follow, or it would come too late. `mean_ms` is
-        the mean duration of attempts for such a request.
+        0 means no timeout before the deadline: no retry is allowed to follow, it would come too late, or this
+        attempt is beyond `MAX_TIMED_ATTEMPTS`. `mean_ms` is the mean duration of attempts for this kind of
+        request.
         """
         request_class = pending.request_class
         objective_ms = request_class.latency_objective_ms
--- a/quota_gateway/policy/slow_start.py
+++ b/quota_gateway/policy/slow_start.py
@@ -2,9 +2,9 @@
 
 A server that has just started has a fraction of its capacity, and fails if it is sent too much work over the
 overload window. Each gateway with the server in its subset therefore sends requests to it only in slow-start
-slots. The slots of all gateways add up to half of the work that would overload the server; the other half is
-a safety margin for random arrivals. Slots are counted in quota units, not in requests, because work
-overloads a server.
+slots. The slots of all gateways together have a budget of half the work that would overload the server; the
+other half is a safety margin for random arrivals. Slots are counted in quota units, not in requests, because
+a server is overloaded by work.
 """
 
 import math
@@ -14,16 +14,18 @@
 from quota_gateway.policy_state.servers import Server
 from quota_gateway.settings import Settings
 
-# Share of the work that overloads a server which all gateways together may send to it.
+# Budget of all gateways together, as a share of the work that overloads a server.
 BUDGET_SHARE = 0.5
 # Time constant of the moving average of the response rate.
 RATE_WINDOW_S = 3.0
-# Interval between requests from all gateways together to a warming server while no response rate is known.
+# Mean interval between requests from all gateways together to a warming server while no response rate is
+# known. At any known rate, slots are at least as frequent.
 UNKNOWN_RATE_INTERVAL_S = 3.0
-# Attempts of this gateway in flight at one server that is warming up.
+# Maximum number of attempts of this gateway in flight at one server that is warming up.
 MAX_WARMING_IN_FLIGHT = 2
-# Number of requests that must fit into the overload window for their total work to stay near its mean.
-MIN_REQUESTS_PER_BUDGET = 6.0
+# A request is admitted in every open slot if it takes at least this many of its size to overload the server:
+# the total work of that many stays near its mean.
+MIN_REQUESTS_TO_OVERLOAD = 6.0
 # Requests over which the mean request size is taken.
 MEAN_UNITS_SAMPLES = 20
 # Weight of a time per unit below the current minimum: a response is fast only if its units take little work.
@@ -58,7 +60,7 @@
             server.slot_credit -= units
 
     def attempt_succeeded(self, now_ms: float, server: Server, duration_ms: float, units: float) -> None:
-        """Update the rate and the minimum time per unit by a response of a warm server of the subset.
+        """Update the rate and the minimum time per unit from a response of a warm server of the subset.
 
         Responses of servers that are warming up are ignored. They are sent requests at a rate derived from
         this one, so that counting them would raise the rate in a feedback loop and overload these servers.
@@ -112,16 +114,16 @@
         if server.slot_credit < 0.0 or server.in_flight >= MAX_WARMING_IN_FLIGHT:
             return False
 
-        budget_ms = max(1.0, self._rules.overload_factor * factor * self._rules.overload_window_ms)
+        overload_work_ms = max(1.0, self._rules.overload_factor * factor * self._rules.overload_window_ms)
         # The work of this request as a share of the work that overloads a server with one core.
-        share = units * self._min_ms_per_unit / budget_ms
+        share = units * self._min_ms_per_unit / overload_work_ms
         # A request that exceeds the safety margin by itself goes to a warm server if there is one. So does
         # every request until a response has shown how much work a unit takes.
         if (share > 1.0 - BUDGET_SHARE or not self._min_ms_per_unit) and self._endpoints.warm_count(now_ms):
             return False
         # Large requests are admitted with a probability that falls with the square of their share: the fewer
-        # requests fit into the budget, the more their total work varies around its mean.
-        if (MIN_REQUESTS_PER_BUDGET * share) ** 2 * self._rng.random() > 1.0:
+        # requests it takes to overload the server, the more their total work varies around its mean.
+        if (MIN_REQUESTS_TO_OVERLOAD * share) ** 2 * self._rng.random() > 1.0:
             self.schedule_slot(now_ms, server)
             return False
         return True
--- a/quota_gateway/policy_api/events.py
+++ b/quota_gateway/policy_api/events.py
@@ -68,7 +68,7 @@
 
     `request_completed` is true if the client has its answer. Otherwise the policy must still give a final
     answer, unless it has already done so. `queue_length` and `active_requests` are the requests that wait and
-    run at the server by its load report; None if it sent none.
+    run at the server according to its load report; None if it sent none.
     """
 
     request_id: str
--- a/quota_gateway/policy_state/customers.py
+++ b/quota_gateway/policy_state/customers.py
@@ -14,7 +14,7 @@
 class Customer:
     """The buckets, the demand and the accounting window of one customer.
 
-    Amounts are quota units, rates units a second, times Unix milliseconds. "Remote" is the use of this
+    Amounts are quota units, rates units per second, times Unix milliseconds. "Remote" is the use of this
     customer's quota by the other gateways, as estimated from the counter's totals.
 
     Three buckets enforce the limits of the plan:
@@ -38,7 +38,8 @@
     local_bucket_level: float = 0.0
 
     last_seen_ms: float = NEVER_MS  # last request
-    admission_credit: float = 1.0  # sum of admitted shares, which turns fractions of requests into whole ones
+    # Units. It grows by the admitted share of each request and falls by the units of admitted requests.
+    admission_credit: float = 1.0
     local_demand: float = 0.0  # rate of the units requested at this gateway
     remote_usage: float = 0.0  # rate of the units admitted by the other gateways
     in_flight: int = 0  # attempts in flight from this gateway
