--- a/quota_gateway/settings.py
+++ b/quota_gateway/settings.py
@@ -4,8 +4,8 @@
 the names of this program. `decode_settings` returns the settings of the policy; `decode_network_settings`
 returns the limits that only a gateway on sockets enforces.
 
-Unknown keys are ignored. Missing keys and nulls get defaults. A value of the wrong type raises
-`SettingsError`, which names its key.
+Unknown keys are ignored. Missing keys and nulls get defaults, and so do nested objects and arrays of another
+type. A value that can't be read as the number expected raises `SettingsError`, which names its key.
 """
 
 from __future__ import annotations
@@ -63,10 +63,10 @@
 
     name: str
     price: float = 1.0  # factor of the priority of its customers' requests
-    rate: float = 0.0  # units a second
+    rate: float = 0.0  # units per second
     burst: float = 0.0  # capacity of the customer's token bucket, units
     max_in_flight: int = 0  # attempts in flight
-    hard_limit_rate: float = 0.0  # units a second
+    hard_limit_rate: float = 0.0  # units per second
     hard_limit_burst: float = 0.0  # units
     hard_limit_slack: float = 0.0  # units by which the hard limit may be exceeded
     over_quota_weight: float = 0.0  # share of its weight that a request over the quota earns
@@ -111,7 +111,7 @@
 class NetworkSettings:
     """The settings that only a gateway on sockets uses."""
 
-    connect_timeout_ms: float  # time-out of a connection attempt to a server
+    connect_timeout_ms: float  # timeout of a connection attempt to a server
     connection_idle_ms: float  # idle time after which servers close a connection
     drain_grace_ms: float  # time for which a server accepts requests after it is listed as draining
     max_request_units: float  # upper bound of the units of one request
@@ -158,9 +158,11 @@
         return f"{self.path}.{key}" if self.path else key
 
     def text(self, key: str) -> str:
+        """Return a value as text; a missing key or null gives the text "None"."""
         return str(self.values.get(key))
 
     def flag(self, key: str) -> bool:
+        """Return whether a value is true in Python's sense, so that any text but an empty one is true."""
         return bool(self.values.get(key))
 
     def number(self, key: str, default: float = 0.0) -> float:
@@ -262,7 +264,7 @@
 def decode_network_settings(raw: Mapping[str, Any]) -> NetworkSettings:
     """Decode the settings of the gateway on sockets.
 
-    This is stricter than `decode_settings`: `domain` and every item of `profiles` have to be objects.
+    This is stricter than `decode_settings`: `domain` and every item of `profiles` must be objects.
     """
     settings = _Section(raw)
     domain = raw.get("domain") or {}
--- a/quota_gateway/simulator_adapter.py
+++ b/quota_gateway/simulator_adapter.py
@@ -96,9 +96,8 @@
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}  # keys are gateway ids
         self._report_fields: dict[int, list[str]] = {}  # columns of load reports; keys are gateway ids
-        self._endpoint_lists: dict[
-            int, tuple[Endpoint, ...]
-        ] = {}  # keys are the numbers of the lists on the wire
+        # Keys are the numbers of the lists on the wire.
+        self._endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}
 
     def handle_line(self, text: str) -> str:
         """Process a line with one batch of messages; return the line with the actions, without a line break.
--- a/tests/policy/fake_counter.py
+++ b/tests/policy/fake_counter.py
@@ -7,7 +7,7 @@
 from quota_gateway.policy_api.actions import IncrementCounter
 from quota_gateway.policy_api.events import CallOutcome, CounterReply
 
-MIN_USAGE_TTL_MS = 10_000.0  # minimum time to live of keys for usage; keys for leases live shorter
+MIN_USAGE_TTL_MS = 10_000.0  # minimum time to live of usage keys; lease keys have a shorter one
 
 
 @dataclass
--- a/tests/policy/test_capacity.py
+++ b/tests/policy/test_capacity.py
@@ -40,7 +40,7 @@
 
 def test_few_attempts_in_flight_are_not_taken_for_overload() -> None:
     # Guards against an overload signal from a few attempts. With hundreds of gateways, the threshold of two
-    # attempts per server is less than one attempt at each gateway, and half of all requests were rejected.
+    # attempts per server is less than one attempt at each gateway, and half of all requests are rejected.
     host = ScriptedHost(make_endpoints(60), HUNDREDS)
     host.warm_up()
     admitted = [bool(of_type(host.request(customer=f"c{i}")[1], StartAttempt)) for i in range(4)]
@@ -48,8 +48,8 @@
 
 
 def test_late_responses_limit_capacity_at_a_gateway_that_sees_few() -> None:
-    # Guards against a median over servers: most of them have no recent response at this gateway, so that it
-    # reported a fleet with late responses as fast.
+    # Guards against a median over servers. Most servers have no recent response at this gateway, so that this
+    # median shows a fleet with late responses as fast.
     host = ScriptedHost(make_endpoints(60), HUNDREDS)
     for i in range(16):
         request_id, actions = host.request(customer=f"c{i}", time_left_ms=4000.0)
--- a/tests/policy/test_counter_sync.py
+++ b/tests/policy/test_counter_sync.py
@@ -16,7 +16,7 @@
 from tests.policy.simulated_fleet import SimulatedFleet
 from tests.policy.traffic import HUNDREDS, count_admitted, settle_counter
 
-RATE = 2.0  # units a second of the plan "rate"
+RATE = 2.0  # units per second of the plan "rate"
 BURST = 6.0  # units of the plan "rate"
 START_MS = 1_000_000.0
 
@@ -258,9 +258,8 @@
         fleet.run(60_000.0 * window_share + 1000.0 * seed)
         start_ms = fleet.now_ms
         for _ in range(20):
-            fleet.request_after(
-                rng.uniform(0.0, 600.0), 0
-            )  # all at one gateway, which has admitted each of them
+            # All requests go to one gateway, which therefore knows the whole usage.
+            fleet.request_after(rng.uniform(0.0, 600.0), 0)
         fleet.run(1000.0)
         excess.append(fleet.admitted_units(start_ms) - BURST - 0.6 * RATE)
     assert max(excess) <= 1.0
@@ -269,8 +268,8 @@
 @pytest.mark.parametrize("gateways", [2, 3])
 def test_correction_by_another_gateway_does_not_count_as_usage(gateways: int) -> None:
     # Guards against counting a correction as remote usage. A customer's first requests correct a total that
-    # lags by the whole refill since the window began. The other gateways took the correction for 20 times the
-    # quota and rejected a customer that used half of it.
+    # lags by the whole refill since the window began. The other gateways take the correction for usage of 20
+    # times the quota and reject a customer that uses half of it.
     rate = 10.0
     burst = 20.0
     plan = Plan("rate", rate=rate, burst=burst, over_quota_cost=0.5)
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -120,8 +120,8 @@
 def test_customers_without_any_reply_are_admitted_as_often_as_those_with_one(
     remote_units: float, min_percent: int, max_percent: int
 ) -> None:
-    # Guards against admitting every customer's first request at each of hundreds of gateways, which made a
-    # quarter of the requests exceed the quota.
+    # Guards against admitting every customer's first request at each of hundreds of gateways, which makes
+    # a quarter of the requests exceed the quota.
     host = ScriptedHost(make_endpoints(4), HUNDREDS)
     host.counter.remote_units = remote_units
     for i in range(60):
@@ -220,7 +220,7 @@
 def test_hard_limit_holds_over_all_gateways_whatever_the_counter_does(outcome: CallOutcome) -> None:
     """A flood arrives at all gateways at once.
 
-    The counter enforces one half of the hard limit, the local buckets of the gateways the other half.
+    The counter enforces one half of the hard limit, the gateways' hard-limit buckets the other half.
     """
     hosts = [ScriptedHost(make_endpoints(4), HUNDREDS, seed=i) for i in range(6)]
     counter = FakeCounter(outcome)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("restarted", [False, True])
 def test_first_slots_of_sixty_gateways_do_not_coincide(restarted: bool) -> None:
-    """If the first slot of each gateway is open from the start, all gateways send a request at once."""
+    """Guards against first slots that are open from the start: all gateways would send a request at once."""
     settings = replace(SETTINGS, gateway_count=60)
     warming_endpoint = Endpoint(WARMING, "a", started_ms=1000.0)
     warming_attempts = 0
@@ -87,8 +87,8 @@
             server.in_flight += 0 if server_id == WARMING else 16  # keeps the warm servers busy
         _, actions = host.request()
         warming_attempts += sum(attempt.server_id == WARMING for attempt in of_type(actions, StartAttempt))
-    # A server that completes ten requests a second when warm starts at a quarter of that rate. It fails above
-    # twice its present rate over a second, that is above five requests.
+    # A server that completes ten requests per second when warm starts at a quarter of that rate. It fails if
+    # it is sent more than twice its present rate over one second, that is more than five requests.
     assert warming_attempts <= 5
 
 
@@ -178,7 +178,7 @@
     start_servers(host, WARMING)
     servers = host.gateway.load_balancer.endpoints.servers
     server_ids: dict[float, list[str]] = {}
-    for units in (1.0, 30.0):  # each unit is 20 ms of work; 500 ms in a second overload the server
+    for units in (1.0, 30.0):  # each unit is 20 ms of work; 500 ms within one second overload the server
         for _ in range(20):
             servers[WARMING].slot_credit = 0.0
             servers[WARMING].slot_credit_at_ms = host.now_ms
