--- a/quota_gateway/policy_api/__init__.py
+++ b/quota_gateway/policy_api/__init__.py
@@ -1,4 +1,4 @@
 """The contract between the policy and its host: the host passes events and carries out actions.
 
-This package holds only data types and no decisions.
+This package holds data types, and a function that splits long endpoint lists. It holds no decisions.
 """
--- a/quota_gateway/policy_state/customers.py
+++ b/quota_gateway/policy_state/customers.py
@@ -50,13 +50,13 @@
     window_length_ms: float = 0.0  # length of the accounting windows
     window_offset: float = 0.0  # offset of the window starts, a share of the length; differs by customer
     window_start_ms: float = -math.inf  # start of the present window
-    counter_key: int = 0  # key of the present window: units admitted or requested by all gateways
+    counter_key: int = 0  # key of the present window; its total is what all gateways admitted or requested
     counter_total: float = 0.0  # total in the last reply of the present window
     replied_at_ms: float = NEVER_MS  # last reply with a total
     called_at_ms: float = NEVER_MS  # last call to the counter
     pending_calls: int = 0  # usage calls without a reply so far
     in_flight_usage: float = 0.0  # units in pending calls, except those of requests that wait for the reply
-    reported_usage: float = 0.0  # units that this gateway reported since the last reply
+    reported_usage: float = 0.0  # units of completed calls that are, or may be, new in the next total
     unreported_usage: float = 0.0  # units that this gateway has yet to report; negative if a refund is due
     lease_requested: bool = False  # whether a call for the correction lease is pending
 
--- a/tests/policy/test_gateway.py
+++ b/tests/policy/test_gateway.py
@@ -1,4 +1,4 @@
-"""The lifecycle of a request: exactly one final answer within the deadline in every case."""
+"""The lifecycle of a request: one final answer within the deadline, or none if its client has left."""
 
 from __future__ import annotations
 
