--- a/quota_gateway/policy_state/customers.py
+++ b/quota_gateway/policy_state/customers.py
@@ -14,7 +14,7 @@
 class Customer:
     """The buckets, the demand and the accounting window of one customer.
 
-    Amounts are quota units, rates units a second, times Unix milliseconds. "Remote" is the use of this
+    Amounts are quota units, rates units per second, times Unix milliseconds. "Remote" is the use of this
     customer's quota by the other gateways, as estimated from the counter's totals.
 
     Three buckets enforce the limits of the plan:
@@ -38,7 +38,8 @@
     local_bucket_level: float = 0.0
 
     last_seen_ms: float = NEVER_MS  # last request
-    admission_credit: float = 1.0  # sum of admitted shares, which turns fractions of requests into whole ones
+    # Units. It grows by the admitted share of each request and falls by the units of admitted requests.
+    admission_credit: float = 1.0
     local_demand: float = 0.0  # rate of the units requested at this gateway
     remote_usage: float = 0.0  # rate of the units admitted by the other gateways
     in_flight: int = 0  # attempts in flight from this gateway
@@ -49,13 +50,13 @@
     window_length_ms: float = 0.0  # length of the accounting windows
     window_offset: float = 0.0  # offset of the window starts, a share of the length; differs by customer
     window_start_ms: float = -math.inf  # start of the present window
-    counter_key: int = 0  # key of the present window: units admitted or requested by all gateways
+    counter_key: int = 0  # key of the present window; its total is what all gateways admitted or requested
     counter_total: float = 0.0  # total in the last reply of the present window
     replied_at_ms: float = NEVER_MS  # last reply with a total
     called_at_ms: float = NEVER_MS  # last call to the counter
     pending_calls: int = 0  # usage calls without a reply so far
     in_flight_usage: float = 0.0  # units in pending calls, except those of requests that wait for the reply
-    reported_usage: float = 0.0  # units that this gateway reported since the last reply
+    reported_usage: float = 0.0  # units of completed calls that are, or may be, new in the next total
     unreported_usage: float = 0.0  # units that this gateway has yet to report; negative if a refund is due
     lease_requested: bool = False  # whether a call for the correction lease is pending
 
