--- a/quota_gateway/policy/gateway.py
+++ b/quota_gateway/policy/gateway.py
@@ -138,7 +138,7 @@
             return
 
         self.retries.add_retry_credit()
-        customer = self.quota.customer_of(now_ms, request)
+        customer = self.quota.get_or_create_customer(now_ms, request)
         request_id = request.request_id
         pending = PendingRequest(
             request_id, request.units, request_class, customer, now_ms, now_ms + time_left_ms
@@ -251,8 +251,8 @@
         if pending.customer is not None:
             pending.customer.in_flight -= 1
             duration_s = event.duration_ms / 1000.0
-            mean_s = self.quota.mean_in_flight_s
-            self.quota.mean_in_flight_s += ATTEMPT_DURATION_WEIGHT * (duration_s - mean_s)
+            mean_s = self.quota.mean_attempt_duration_s
+            self.quota.mean_attempt_duration_s += ATTEMPT_DURATION_WEIGHT * (duration_s - mean_s)
 
         if event.request_id not in self.pending:
             return
--- a/quota_gateway/policy/quota.py
+++ b/quota_gateway/policy/quota.py
@@ -50,11 +50,11 @@
         self._plans = {plan.name: plan for plan in settings.plans}
         self.customers: dict[str, Customer] = {}  # keys are customer keys; least recently seen first
         self.started_at_ms = math.inf  # Unix time of this gateway's first event
-        self.mean_in_flight_s = 0.2  # moving mean of attempt durations
+        self.mean_attempt_duration_s = 0.2  # moving mean of attempt durations
         # Moving share of requests with a counter reply that found room in their bucket. Keys are plan names.
         self._room_shares: dict[str, float] = {}
 
-    def customer_of(self, now_ms: float, request: Request) -> Customer | None:
+    def get_or_create_customer(self, now_ms: float, request: Request) -> Customer | None:
         """Return the customer of a request, or None if its plan is unknown.
 
         A new customer is created on its first request. The buckets are not refilled.
@@ -89,7 +89,7 @@
         share = _local_share(customer)
         # A plan without a rate is refilled at the rate at which attempts complete while the usable part of
         # its in-flight limit is in use (Little's law).
-        rate = plan.rate or MAX_IN_FLIGHT_UTILIZATION * plan.max_in_flight / self.mean_in_flight_s
+        rate = plan.rate or MAX_IN_FLIGHT_UTILIZATION * plan.max_in_flight / self.mean_attempt_duration_s
         local_rate = rate * share
         local_level = customer.local_bucket_level
         # The capacity falls with the share. A level above the new capacity stays until it is spent.
@@ -113,7 +113,7 @@
         plan = customer.plan
         available = customer.bucket_level if plan.rate else math.inf
         if plan.max_in_flight:
-            remote_in_flight = customer.remote_usage * self.mean_in_flight_s
+            remote_in_flight = customer.remote_usage * self.mean_attempt_duration_s
             available = min(available, plan.max_in_flight - customer.in_flight - remote_in_flight)
         return available
 
@@ -130,7 +130,7 @@
             return shortfall / plan.hard_limit_rate * customer.gateway_count * 1000.0
         retry_after_ms = self._check_rate(now_ms, customer, units, reply) if plan.rate else None
         if retry_after_ms is None and plan.max_in_flight and self._in_flight_full(customer, units, reply):
-            return self.mean_in_flight_s * 1000.0
+            return self.mean_attempt_duration_s * 1000.0
         return retry_after_ms
 
     def charge(self, customer: Customer, units: float, reply: ReplyState) -> None:
@@ -210,7 +210,9 @@
         if reply is ReplyState.RECEIVED:
             # Little's law: the demand times the mean duration is the number of attempts in flight. If it
             # exceeds the usable part of the limit, the ratio of the two is the probability of admission.
-            expected_in_flight = (customer.local_demand + customer.remote_usage) * self.mean_in_flight_s
+            expected_in_flight = (
+                customer.local_demand + customer.remote_usage
+            ) * self.mean_attempt_duration_s
             return self.rng.random() > MAX_IN_FLIGHT_UTILIZATION * limit / max(expected_in_flight, 1e-9)
         if reply is ReplyState.NOT_NEEDED:
             return customer.in_flight >= max(1, local_limit) and self.available(customer) < 1.0
--- a/tests/policy/test_capacity.py
+++ b/tests/policy/test_capacity.py
@@ -7,7 +7,7 @@
 from quota_gateway.policy_api.actions import StartAttempt
 from quota_gateway.policy_api.events import CallOutcome
 from tests.policy.scripted_host import ScriptedHost, make_endpoints, of_type
-from tests.policy.traffic import HUNDREDS, count_admitted
+from tests.policy.traffic import HUNDREDS_OF_GATEWAYS, count_admitted
 
 
 def overload(host: ScriptedHost, seconds: float, duration_ms: float) -> int:
@@ -41,7 +41,7 @@
 def test_few_attempts_in_flight_are_not_taken_for_overload() -> None:
     # Guards against an overload signal from a few attempts. With hundreds of gateways, the threshold of two
     # attempts per server is less than one attempt at each gateway, and half of all requests are rejected.
-    host = ScriptedHost(make_endpoints(60), HUNDREDS)
+    host = ScriptedHost(make_endpoints(60), HUNDREDS_OF_GATEWAYS)
     host.warm_up()
     admitted = [bool(of_type(host.request(customer=f"c{i}")[1], StartAttempt)) for i in range(4)]
     assert all(admitted)
@@ -50,7 +50,7 @@
 def test_late_responses_limit_capacity_at_a_gateway_that_sees_few() -> None:
     # Guards against a median over servers. Most servers have no recent response at this gateway, so that this
     # median shows a fleet with late responses as fast.
-    host = ScriptedHost(make_endpoints(60), HUNDREDS)
+    host = ScriptedHost(make_endpoints(60), HUNDREDS_OF_GATEWAYS)
     for i in range(16):
         request_id, actions = host.request(customer=f"c{i}", time_left_ms=4000.0)
         host.advance(500.0)
--- a/tests/policy/test_counter_health.py
+++ b/tests/policy/test_counter_health.py
@@ -5,7 +5,7 @@
 from quota_gateway.policy_api.actions import IncrementCounter, StartAttempt
 from quota_gateway.policy_api.events import CallOutcome
 from tests.policy.scripted_host import ScriptedHost, make_endpoints, of_type
-from tests.policy.traffic import HUNDREDS
+from tests.policy.traffic import HUNDREDS_OF_GATEWAYS
 
 
 def test_unavailable_counter_is_probed_and_recovers() -> None:
@@ -44,7 +44,7 @@
 
 
 def test_share_of_waiting_requests_falls_with_rejected_calls_and_recovers() -> None:
-    host = ScriptedHost(make_endpoints(4), HUNDREDS)
+    host = ScriptedHost(make_endpoints(4), HUNDREDS_OF_GATEWAYS)
 
     def count_waiting(requests: int, calls_rejected: bool = False) -> int:
         waiting = 0
--- a/tests/policy/test_counter_sync.py
+++ b/tests/policy/test_counter_sync.py
@@ -14,7 +14,7 @@
 from quota_gateway.settings import Plan, Settings
 from tests.policy.scripted_host import SETTINGS, ScriptedHost, final_answers, make_endpoints, of_type
 from tests.policy.simulated_fleet import SimulatedFleet
-from tests.policy.traffic import HUNDREDS, count_admitted, settle_counter
+from tests.policy.traffic import HUNDREDS_OF_GATEWAYS, count_admitted, settle_counter
 
 RATE = 2.0  # units per second of the plan "rate"
 BURST = 6.0  # units of the plan "rate"
@@ -63,7 +63,7 @@
 
 
 def test_customer_with_a_single_request_costs_one_call() -> None:
-    host = ScriptedHost(make_endpoints(4), HUNDREDS)
+    host = ScriptedHost(make_endpoints(4), HUNDREDS_OF_GATEWAYS)
     request_id, _ = host.request(plan="rate", gateways=200)
     host.complete(request_id, 0, CallOutcome.OK, 1.0)
     host.reply_to_calls()
@@ -73,7 +73,7 @@
 
 def test_single_request_at_one_of_hundreds_of_gateways_is_admitted() -> None:
     # Guards against admission by an equal share of the bucket, which is too small for any request.
-    host = ScriptedHost(make_endpoints(4), HUNDREDS)
+    host = ScriptedHost(make_endpoints(4), HUNDREDS_OF_GATEWAYS)
     for i in range(20):
         request_id, actions = host.request(plan="rate", customer=f"c{i}", gateways=200)
         assert of_type(actions, IncrementCounter)
@@ -82,7 +82,7 @@
 
 
 def test_request_is_rejected_if_the_other_gateways_have_used_the_quota() -> None:
-    host = ScriptedHost(make_endpoints(4), HUNDREDS)
+    host = ScriptedHost(make_endpoints(4), HUNDREDS_OF_GATEWAYS)
     settle_counter(host)
     host.counter.remote_units = 7.0
     _, actions = host.request(plan="rate", gateways=200)
@@ -91,7 +91,7 @@
 
 
 def test_request_waits_for_its_own_reply_and_is_answered_once() -> None:
-    host = ScriptedHost(make_endpoints(4), HUNDREDS)
+    host = ScriptedHost(make_endpoints(4), HUNDREDS_OF_GATEWAYS)
     host.counter.outcome = CallOutcome.TIMEOUT
     request_id, actions = host.request(plan="rate", gateways=200)
     assert [attempt.request_id for attempt in of_type(actions, StartAttempt)] == [request_id]
@@ -100,7 +100,7 @@
 
 
 def test_request_with_a_short_deadline_does_not_wait_for_a_reply() -> None:
-    host = ScriptedHost(make_endpoints(4), HUNDREDS)
+    host = ScriptedHost(make_endpoints(4), HUNDREDS_OF_GATEWAYS)
     _, actions = host.request(plan="rate", gateways=200, time_left_ms=60.0)
     assert of_type(actions, StartAttempt) or final_answers(actions)
 
@@ -109,7 +109,7 @@
     # Guards against refunds that wait for the customer's next call at this gateway. With many gateways that
     # call comes after the window has ended: until then the total includes units that were never admitted, and
     # half of all rejections hit customers within their quota.
-    host = ScriptedHost(make_endpoints(4), HUNDREDS)
+    host = ScriptedHost(make_endpoints(4), HUNDREDS_OF_GATEWAYS)
     settle_counter(host)
     host.counter.remote_units = 5.0
     _, actions = host.request(plan="rate", gateways=200)
@@ -118,7 +118,7 @@
 
 
 def test_request_rejected_for_lack_of_capacity_is_refunded_too() -> None:
-    host = ScriptedHost(make_endpoints(4), HUNDREDS)
+    host = ScriptedHost(make_endpoints(4), HUNDREDS_OF_GATEWAYS)
     settle_counter(host)
     estimator = host.gateway.capacity
     estimator.capacity = 0.0
@@ -134,7 +134,7 @@
 
 
 def test_each_accounting_window_has_its_own_counter_key() -> None:
-    host = ScriptedHost(make_endpoints(4), HUNDREDS)
+    host = ScriptedHost(make_endpoints(4), HUNDREDS_OF_GATEWAYS)
     settle_counter(host)
     first_keys = {action.key for _, action in host.actions if isinstance(action, IncrementCounter)}
     host.advance(61_000.0)
@@ -147,7 +147,7 @@
 def test_total_that_lags_behind_a_full_bucket_is_corrected() -> None:
     # Guards against an excessive burst after idle time. The total does not show that a full bucket discarded
     # its refill, and an uncorrected total would allow this refill to be spent later.
-    host = ScriptedHost(make_endpoints(4), HUNDREDS)
+    host = ScriptedHost(make_endpoints(4), HUNDREDS_OF_GATEWAYS)
     settle_counter(host)
     host.advance(20_000.0)  # the bucket is full after 3 s
     admitted = 0
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -17,7 +17,7 @@
     split_update,
 )
 from tests.policy.scripted_host import SETTINGS, ScriptedHost, make_endpoints, of_type
-from tests.policy.traffic import FORTY, THOUSANDS_OF_GATEWAYS, start_servers
+from tests.policy.traffic import FORTY_GATEWAYS, THOUSANDS_OF_GATEWAYS, start_servers
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
@@ -48,7 +48,7 @@
 
 def subsets_of_forty_gateways(servers: tuple[Endpoint, ...]) -> list[set[str]]:
     """Return the server ids in the subset of each of forty gateways."""
-    hosts = [ScriptedHost(servers, replace(FORTY, gateway_index=index)) for index in range(40)]
+    hosts = [ScriptedHost(servers, replace(FORTY_GATEWAYS, gateway_index=index)) for index in range(40)]
     return [set(host.gateway.load_balancer.endpoints.subset) for host in hosts]
 
 
--- a/tests/policy/test_gateway.py
+++ b/tests/policy/test_gateway.py
@@ -21,7 +21,7 @@
     TimerFired,
 )
 from tests.policy.scripted_host import SETTINGS, ScriptedHost, final_answers, make_endpoints, of_type
-from tests.policy.traffic import HUNDREDS
+from tests.policy.traffic import HUNDREDS_OF_GATEWAYS
 
 ROOT = Path(__file__).resolve().parents[2]
 S0_DRAINING = EndpointUpdate(UpdateKind.DELTA, (Endpoint("s0", "a", state=EndpointState.DRAINING),))
@@ -158,7 +158,7 @@
 
 
 def test_disconnect_before_the_counter_reply_refunds_the_request() -> None:
-    host = ScriptedHost(make_endpoints(4), HUNDREDS)
+    host = ScriptedHost(make_endpoints(4), HUNDREDS_OF_GATEWAYS)
     (call,) = of_type(host.handle(Request("r", "read", "rate", "c", 3000.0, 2.0, 200)), IncrementCounter)
     assert not host.handle(ClientDisconnected("r"))
     actions = host.reply(call)
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -10,7 +10,12 @@
 from quota_gateway.policy_api.endpoints import Endpoint, EndpointUpdate, UpdateKind
 from quota_gateway.policy_api.events import AttemptCompleted, CallOutcome
 from tests.policy.scripted_host import SETTINGS, ScriptedHost, final_answers, make_endpoints, of_type
-from tests.policy.traffic import FORTY, THOUSANDS_OF_GATEWAYS, serve_at_mean_pace, share_of_first_attempts
+from tests.policy.traffic import (
+    FORTY_GATEWAYS,
+    THOUSANDS_OF_GATEWAYS,
+    serve_at_mean_pace,
+    share_of_first_attempts,
+)
 
 
 @pytest.mark.parametrize(
@@ -106,13 +111,13 @@
 def test_gateway_with_little_load_uses_only_its_subset() -> None:
     # Without a subset, a gateway with little load spreads its requests over nearly all sixty servers and
     # opens a connection to each of them.
-    host = ScriptedHost(make_endpoints(60), FORTY)
+    host = ScriptedHost(make_endpoints(60), FORTY_GATEWAYS)
     server_ids = serve_at_mean_pace(host, 300)
     assert len(set(server_ids)) <= 20
 
 
 def test_gateway_with_a_full_subset_uses_the_remaining_endpoints() -> None:
-    host = ScriptedHost(make_endpoints(60), FORTY)
+    host = ScriptedHost(make_endpoints(60), FORTY_GATEWAYS)
     subset = dict(host.gateway.load_balancer.endpoints.subset)
     for server in subset.values():
         server.in_flight = 6
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -11,7 +11,7 @@
 from quota_gateway.policy_api.events import CallOutcome
 from tests.policy.fake_counter import FakeCounter
 from tests.policy.scripted_host import SETTINGS, ScriptedHost, make_endpoints, of_type
-from tests.policy.traffic import FORTY, HUNDREDS, count_admitted, settle_counter
+from tests.policy.traffic import FORTY_GATEWAYS, HUNDREDS_OF_GATEWAYS, count_admitted, settle_counter
 
 
 def test_burst_then_rate() -> None:
@@ -65,7 +65,7 @@
 
 
 def test_unavailable_counter_admits_two_requests_then_the_local_share() -> None:
-    host = ScriptedHost(make_endpoints(4), HUNDREDS)
+    host = ScriptedHost(make_endpoints(4), HUNDREDS_OF_GATEWAYS)
     host.counter.outcome = CallOutcome.UNREACHABLE
     for i in range(6):
         host.complete(host.request(plan="rate", customer=f"x{i}", gateways=200)[0], 0, CallOutcome.OK)
@@ -80,7 +80,7 @@
 def test_requests_without_the_reply_they_need_keep_to_the_local_bucket() -> None:
     # Guards against a gateway that admits a customer's whole quota until one of its calls succeeds. With
     # hundreds of gateways, a flood would exceed the quota many times over.
-    host = ScriptedHost(make_endpoints(4), HUNDREDS)
+    host = ScriptedHost(make_endpoints(4), HUNDREDS_OF_GATEWAYS)
     host.gateway.counter_sync.health.call_share = 0.0001
     admitted = 0
     for _ in range(20):
@@ -101,7 +101,7 @@
     # for a request even if the customer has used little of its quota.
     admitted = []
     for remote_units in (0.0, 5.0):
-        host = ScriptedHost(make_endpoints(4), HUNDREDS)
+        host = ScriptedHost(make_endpoints(4), HUNDREDS_OF_GATEWAYS)
         settle_counter(host)
         host.advance(300.0)
         host.counter.remote_units = remote_units
@@ -122,7 +122,7 @@
 ) -> None:
     # Guards against admitting every customer's first request at each of hundreds of gateways, which makes
     # a quarter of the requests exceed the quota.
-    host = ScriptedHost(make_endpoints(4), HUNDREDS)
+    host = ScriptedHost(make_endpoints(4), HUNDREDS_OF_GATEWAYS)
     host.counter.remote_units = remote_units
     for i in range(60):
         host.serve(1.0, plan="rate", customer=f"replied{i}", gateways=200)
@@ -222,7 +222,7 @@
 
     The counter enforces one half of the hard limit, the gateways' hard-limit buckets the other half.
     """
-    hosts = [ScriptedHost(make_endpoints(4), HUNDREDS, seed=i) for i in range(6)]
+    hosts = [ScriptedHost(make_endpoints(4), HUNDREDS_OF_GATEWAYS, seed=i) for i in range(6)]
     counter = FakeCounter(outcome)
     for host in hosts:
         host.counter = counter
@@ -238,7 +238,7 @@
 
 
 def test_counter_lets_a_busy_gateway_exceed_its_part_of_a_hard_limit() -> None:
-    host = ScriptedHost(make_endpoints(4), FORTY)
+    host = ScriptedHost(make_endpoints(4), FORTY_GATEWAYS)
     host.advance(20_000.0)
     admitted = 0
     for _ in range(3):
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -11,7 +11,7 @@
 from quota_gateway.policy_api.events import CallOutcome
 from quota_gateway.settings import DeduplicationScope, Idempotency, RequestClass
 from tests.policy.scripted_host import SETTINGS, ScriptedHost, final_answers, make_endpoints, of_type
-from tests.policy.traffic import HUNDREDS
+from tests.policy.traffic import HUNDREDS_OF_GATEWAYS
 
 
 @pytest.mark.parametrize(
@@ -102,7 +102,7 @@
 def test_timeouts_lengthen_with_the_latency_of_other_kinds_of_requests() -> None:
     # One of hundreds of gateways needs half a minute to learn the mean of each kind of request. Timeouts
     # derived from the means alone stay too short while the latency rises, and the retries overload the fleet.
-    host = ScriptedHost(make_endpoints(60), HUNDREDS)
+    host = ScriptedHost(make_endpoints(60), HUNDREDS_OF_GATEWAYS)
     for i in range(12):
         request_id, actions = host.request(class_name="order", customer=f"c{i}", time_left_ms=4000.0)
         if of_type(actions, StartAttempt):
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -12,7 +12,7 @@
 from quota_gateway.policy_state.requests import Attempt, PendingRequest
 from tests.policy.scripted_host import SETTINGS, ScriptedHost, make_endpoints, of_type
 from tests.policy.slow_start_simulation import SLOW_START_SETTINGS, WARMING, play
-from tests.policy.traffic import FORTY, HUNDREDS, serve_at_mean_pace, start_servers
+from tests.policy.traffic import FORTY_GATEWAYS, HUNDREDS_OF_GATEWAYS, serve_at_mean_pace, start_servers
 
 
 def test_warming_server_gets_at_most_half_the_requests_of_a_warm_one() -> None:
@@ -60,14 +60,14 @@
     """The warm servers work at full capacity while the warming server has its initial capacity."""
     warming_attempts = 0
     warm_attempts = 0
-    for seed in range(FORTY.gateway_count):
-        host = ScriptedHost(make_endpoints(servers), FORTY, seed=seed)
+    for seed in range(FORTY_GATEWAYS.gateway_count):
+        host = ScriptedHost(make_endpoints(servers), FORTY_GATEWAYS, seed=seed)
         host.warm_up()
         start_servers(host, WARMING)
         server_ids = serve_at_mean_pace(host, 10, 100.0)  # one second: its capacity changes little
         warming_attempts += server_ids.count(WARMING)
         warm_attempts += len(server_ids) - server_ids.count(WARMING)
-    rules = FORTY.slow_start
+    rules = FORTY_GATEWAYS.slow_start
     overload_requests = rules.overload_factor * (rules.initial_capacity_share + 0.1) * warm_attempts / servers
     assert warming_attempts <= 0.8 * overload_requests
 
@@ -112,7 +112,7 @@
 def test_overloaded_fleet_does_not_raise_the_slot_rate() -> None:
     # The slot rate must follow the responses of warm servers. In an overload, the attempts exceed their
     # capacity several times, so a slot rate derived from attempts overloads a new server too.
-    host = ScriptedHost(make_endpoints(4), HUNDREDS)
+    host = ScriptedHost(make_endpoints(4), HUNDREDS_OF_GATEWAYS)
     for i in range(40):
         request_id, actions = host.request(customer=f"c{i}")
         if of_type(actions, StartAttempt):
@@ -124,7 +124,7 @@
 def test_warming_server_gets_its_slots_while_warm_servers_look_idle() -> None:
     # If the warm-up factor raises its cost, a warming server gets no requests while a warm server has no
     # attempt of this gateway in flight.
-    host = ScriptedHost(make_endpoints(4), FORTY)
+    host = ScriptedHost(make_endpoints(4), FORTY_GATEWAYS)
     serve_at_mean_pace(host, 80)
     start_servers(host, WARMING)
     server_ids = serve_at_mean_pace(host, 80)
@@ -136,11 +136,13 @@
     # that are warming up would lower it.
     rates = []
     for count in (1, 6):
-        host = ScriptedHost(make_endpoints(4), FORTY)
+        host = ScriptedHost(make_endpoints(4), FORTY_GATEWAYS)
         start_servers(host, *(f"{WARMING}{i}" for i in range(count)))
         balancer = host.gateway.load_balancer
         for i in range(40):  # warm servers answer the same requests in both cases
-            pending = PendingRequest(f"r{i}", 1.0, FORTY.classes[0], None, host.now_ms, host.now_ms + 1000.0)
+            pending = PendingRequest(
+                f"r{i}", 1.0, FORTY_GATEWAYS.classes[0], None, host.now_ms, host.now_ms + 1000.0
+            )
             attempt = Attempt(pending, Endpoint(f"s{i % 4}", "a"), host.now_ms, work_ms=20.0)
             completed = AttemptCompleted(f"r{i}", 0, f"s{i % 4}", CallOutcome.OK, 20.0, True)
             balancer.attempt_completed(host.now_ms, attempt, completed)
@@ -154,7 +156,7 @@
     # in proportion to its size.
     waits_s: list[float] = []
     for units in (1.0, 6.0):
-        host = ScriptedHost(make_endpoints(4), FORTY)
+        host = ScriptedHost(make_endpoints(4), FORTY_GATEWAYS)
         host.warm_up()
         start_servers(host, WARMING)
         balancer = host.gateway.load_balancer
@@ -215,7 +217,7 @@
     warm_attempts = 0
     senders = 0
     for index in range(40):
-        host = ScriptedHost(make_endpoints(59), replace(FORTY, gateway_index=index), seed=index)
+        host = ScriptedHost(make_endpoints(59), replace(FORTY_GATEWAYS, gateway_index=index), seed=index)
         serve_at_mean_pace(host, 60)
         start_servers(host, WARMING)
         host.advance(10.0)
--- a/tests/policy/traffic.py
+++ b/tests/policy/traffic.py
@@ -10,9 +10,9 @@
 from tests.policy.scripted_host import SETTINGS, ScriptedHost, of_type
 
 # Each of forty gateways sends few requests to most servers.
-FORTY = replace(SETTINGS, gateway_count=40)
+FORTY_GATEWAYS = replace(SETTINGS, gateway_count=40)
 # Each of hundreds of gateways receives few requests of a customer.
-HUNDREDS = replace(SETTINGS, gateway_count=300)
+HUNDREDS_OF_GATEWAYS = replace(SETTINGS, gateway_count=300)
 THOUSANDS_OF_GATEWAYS = replace(SETTINGS, gateway_count=2100, gateway_index=7)
 
 
